--- a/bench/routing.ts
+++ b/bench/routing.ts
@@ -3,7 +3,7 @@
  * an oracle that knows the true queues. Pure decisions on a clock of its own; nothing is timed.
  */
 import process from 'node:process';
-import {Admission, type Ticket} from '../src/backend/index.js';
+import {Admission, type AdmissionRequest} from '../src/backend/index.js';
 import {Deadline, RefusalReason, type LoadReport} from '../src/call/index.js';
 import {createSelf, MemberPhase, type Member} from '../src/membership/index.js';
 import {createRandom, type Random} from '../src/random/index.js';
@@ -91,11 +91,11 @@
 		return best;
 	}
 
-	noteSent(): void {
+	recordSent(): void {
 		// The oracle needs no memory.
 	}
 
-	noteEnded(): void {
+	recordEnded(): void {
 		// The oracle needs no memory.
 	}
 
@@ -204,11 +204,11 @@
 		call.tried.add(member);
 		this.outcome.attempts += 1;
 		const sentAt = clock.now();
-		policy.noteSent(member.id);
+		policy.recordSent(member.id);
 		clock.after(linkDelay, () => {
 			this.execute(executor, call, (reason, load) => {
 				clock.after(linkDelay, () => {
-					policy.noteEnded(member.id, sentAt, load);
+					policy.recordEnded(member.id, sentAt, load);
 					this.end(policy, call, reason);
 				});
 			});
@@ -222,14 +222,14 @@
 	): void {
 		const {clock, admissions} = this.world;
 		const admission = admissions[executor]!;
-		const ticket: Ticket = {
+		const ticket: AdmissionRequest = {
 			customer: 'c',
 			share: 1,
 			deadline: new Deadline(call.startedAt + timeout),
 			objective: new Deadline(call.startedAt + timeout),
 			priority: 0,
 			work: call.service,
-			isBounceable: this.canBounce && call.bounces < maxBounces,
+			canRetryElsewhere: this.canBounce && call.bounces < maxBounces,
 			start: () => {
 				const isFailing = this.setup.isFailing?.(executor, clock.now()) ?? false;
 				const slowness = this.setup.slowness?.(executor, clock.now()) ?? 1;
@@ -245,7 +245,7 @@
 				told(reason, {...admission.report(), slowdown: 1});
 			},
 		};
-		admission.request(ticket);
+		admission.submit(ticket);
 	}
 
 	private end(policy: RoutingPolicy, call: CallState, reason: RefusalReason | undefined): void {
--- a/src/backend/__tests__/unit/admission.test.ts
+++ b/src/backend/__tests__/unit/admission.test.ts
@@ -2,9 +2,9 @@
 import {describe, expect, it} from 'vitest';
 import {Deadline, RefusalReason} from '../../../call/index.js';
 import {ManualClock} from '../../../clock/index.js';
-import {Admission, type Ticket} from '../../index.js';
+import {Admission, type AdmissionRequest} from '../../index.js';
 
-interface Recorded extends Ticket {
+interface Recorded extends AdmissionRequest {
 	state: 'waiting' | 'started' | 'refused' | 'done';
 	reason: RefusalReason | undefined;
 }
@@ -17,7 +17,7 @@
 		objective: new Deadline(at),
 		priority: 0,
 		work: 0,
-		isBounceable: false,
+		canRetryElsewhere: false,
 		state: 'waiting',
 		reason: undefined,
 		start() {
@@ -38,10 +38,10 @@
 		const clock = new ManualClock();
 		const admission = new Admission(clock, {slots: 1, queue: 10});
 		const first = createTicket('a', 1000);
-		admission.request(first);
+		admission.submit(first);
 		clock.advance(100);
 		const late = createTicket('a', 150);
-		admission.request(late);
+		admission.submit(late);
 		expect(late.reason).toBe(RefusalReason.DeadlineTooShort);
 	});
 
@@ -52,7 +52,7 @@
 		const later = createTicket('a', 900);
 		const sooner = createTicket('a', 800);
 		for (const ticket of [running, later, sooner]) {
-			admission.request(ticket);
+			admission.submit(ticket);
 		}
 
 		admission.release(running, false);
@@ -64,11 +64,11 @@
 		const admission = new Admission(clock, {slots: 2, queue: 8});
 		const flood = Array.from({length: 40}, () => createTicket('flood', 10_000));
 		const quiet = createTicket('quiet', 10_000);
-		admission.request(flood[0]!);
-		admission.request(flood[1]!);
-		admission.request(quiet);
+		admission.submit(flood[0]!);
+		admission.submit(flood[1]!);
+		admission.submit(quiet);
 		for (const ticket of flood.slice(2)) {
-			admission.request(ticket);
+			admission.submit(ticket);
 		}
 
 		const admitted = flood.filter((ticket) => ticket.state !== 'refused').length;
@@ -80,9 +80,9 @@
 	it('refuses all that wait at once when the backend server leaves', () => {
 		const admission = new Admission(new ManualClock(), {slots: 1, queue: 10});
 		const waiting = [500, 600, 700, 800].map((at) => createTicket('a', at));
-		admission.request(createTicket('a', 1000));
+		admission.submit(createTicket('a', 1000));
 		for (const ticket of waiting) {
-			admission.request(ticket);
+			admission.submit(ticket);
 		}
 
 		admission.refuseQueue(RefusalReason.Draining);
@@ -112,7 +112,7 @@
 					if (kind === 'request') {
 						const ticket = createTicket(customer, clock.now() + timeLeft);
 						tickets.push(ticket);
-						admission.request(ticket);
+						admission.submit(ticket);
 						expect(admission.inFlight <= slots || started.length > slots).toBe(true);
 					} else if (kind === 'release' && started.length > 0) {
 						const ticket = started[pick % started.length]!;
--- a/src/backend/__tests__/unit/cold-start.test.ts
+++ b/src/backend/__tests__/unit/cold-start.test.ts
@@ -2,7 +2,7 @@
 import {Deadline} from '../../../call/index.js';
 import {ManualClock, type Millis} from '../../../clock/index.js';
 import {createRandom} from '../../../random/index.js';
-import {Admission, BackendSpeed, type Ticket} from '../../index.js';
+import {Admission, BackendSpeed, type AdmissionRequest} from '../../index.js';
 
 const slots = 10;
 const work: Millis = 95;
@@ -23,23 +23,23 @@
 	const admission = new Admission(clock, {slots, queue: 40});
 	const slowdown = () => (clock.now() < coldTime ? coldSlowdown : 1);
 	let inTime = 0;
-	speed.read(slowdown(), clock.now());
+	speed.addReading(slowdown(), clock.now());
 	clock.repeat(40, () => {
-		speed.read(slowdown(), clock.now());
+		speed.addReading(slowdown(), clock.now());
 	});
 	clock.repeat(10, () => {
 		admission.sweep();
 	});
 	const arrive = () => {
 		const startedAt = clock.now();
-		const ticket: Ticket = {
+		const ticket: AdmissionRequest = {
 			customer: '',
 			share: 1,
 			priority: 0,
 			work: work * (isBaselineKnown ? speed.baseline : 1),
 			objective: new Deadline(startedAt + objective),
 			deadline: new Deadline(startedAt + timeout),
-			isBounceable: false,
+			canRetryElsewhere: false,
 			start() {
 				clock.after(work * (0.7 + 0.6 * random.next()) * slowdown(), () => {
 					inTime += clock.now() - startedAt <= objective ? 1 : 0;
@@ -48,7 +48,7 @@
 			},
 			refuse: () => undefined,
 		};
-		admission.request(ticket);
+		admission.submit(ticket);
 	};
 
 	for (let i = 0; i < backlog; i++) {
@@ -79,36 +79,36 @@
 describe('BackendSpeed', () => {
 	it('tells a slow spell from a backend server that is slow all the time', () => {
 		const speed = new BackendSpeed();
-		speed.read(8, 0);
+		speed.addReading(8, 0);
 		for (let now = 100; now <= 1000; now += 100) {
-			speed.read(2.05, now);
+			speed.addReading(2.05, now);
 		}
 
 		expect(speed.isSlow).toBe(false);
 		expect(speed.baseline).toBeCloseTo(2.05);
-		speed.read(8, 1100);
+		speed.addReading(8, 1100);
 		expect(speed.isSlow).toBe(true);
 		expect(speed.baseline).toBeCloseTo(2.05);
-		speed.read(1, 1200);
+		speed.addReading(1, 1200);
 		expect(speed.isSlow).toBe(false);
 		expect(speed.baseline).toBe(1);
-		speed.read(4, 1300);
+		speed.addReading(4, 1300);
 		expect(speed.isSlow).toBe(true);
 	});
 
 	it('takes a slowdown for lasting once it has outlived any spell', () => {
 		const speed = new BackendSpeed();
 		for (let now = 0; now <= 1200; now += 100) {
-			speed.read(1, now);
+			speed.addReading(1, now);
 		}
 
 		for (let now = 1300; now <= 2300; now += 100) {
-			speed.read(5, now);
+			speed.addReading(5, now);
 			expect(speed.isSlow).toBe(true);
 		}
 
 		for (let now = 2400; now <= 2600; now += 100) {
-			speed.read(5, now);
+			speed.addReading(5, now);
 		}
 
 		expect(speed.isSlow).toBe(false);
--- a/src/backend/__tests__/unit/crowding.test.ts
+++ b/src/backend/__tests__/unit/crowding.test.ts
@@ -1,24 +1,24 @@
 import {describe, expect, it} from 'vitest';
-import {Crowding} from '../../index.js';
+import {Saturation} from '../../index.js';
 
 const slots = 10;
 
-function learn(crowding: Crowding, isCrowded: boolean, ran: number): void {
+function learn(crowding: Saturation, isCrowded: boolean, ran: number): void {
 	for (let i = 0; i < 30; i++) {
-		crowding.note(isCrowded, ran, 100);
+		crowding.recordRun(isCrowded, ran, 100);
 	}
 }
 
 describe('Crowding', () => {
 	it('keeps the last slots free at first, and then tries them', () => {
-		const crowding = new Crowding();
+		const crowding = new Saturation();
 		expect(crowding.limit(slots, 0)).toBe(8);
 		learn(crowding, false, 100);
 		expect(crowding.limit(slots, 0)).toBe(10);
 	});
 
 	it('keeps them free where they cost more than they bring, and tries again later', () => {
-		const crowding = new Crowding();
+		const crowding = new Saturation();
 		learn(crowding, false, 100);
 		learn(crowding, true, 170);
 		expect(crowding.limit(slots, 0)).toBe(8);
@@ -27,7 +27,7 @@
 	});
 
 	it('uses all slots where calls take no longer on them', () => {
-		const crowding = new Crowding();
+		const crowding = new Saturation();
 		learn(crowding, false, 100);
 		learn(crowding, true, 104);
 		expect(crowding.limit(slots, 0)).toBe(10);
--- a/src/backend/__tests__/unit/overload.test.ts
+++ b/src/backend/__tests__/unit/overload.test.ts
@@ -2,7 +2,7 @@
 import {Deadline} from '../../../call/index.js';
 import {EventClock} from '../../../../bench/event-clock.js';
 import {createRandom} from '../../../random/index.js';
-import {Admission, type Ticket} from '../../index.js';
+import {Admission, type AdmissionRequest} from '../../index.js';
 
 const slots = 10;
 const queue = 40;
@@ -30,14 +30,14 @@
 		const arrive = () => {
 			const startedAt = clock.now();
 			const time = serviceTime * (0.5 + random.next());
-			const ticket: Ticket = {
+			const ticket: AdmissionRequest = {
 				customer,
 				share: 1,
 				deadline: new Deadline(startedAt + timeout),
 				objective: new Deadline(startedAt + timeout),
 				priority: 0,
 				work: serviceTime,
-				isBounceable: false,
+				canRetryElsewhere: false,
 				start() {
 					clock.after(time, () => {
 						admission.release(ticket, false);
@@ -48,7 +48,7 @@
 				},
 				refuse: () => undefined,
 			};
-			admission.request(ticket);
+			admission.submit(ticket);
 			clock.after(-Math.log(1 - random.next()) / (capacity * factor), arrive);
 		};
 
--- a/src/backend/__tests__/unit/pacing.test.ts
+++ b/src/backend/__tests__/unit/pacing.test.ts
@@ -2,7 +2,13 @@
 import {Deadline, RefusalReason} from '../../../call/index.js';
 import {ManualClock, type Millis} from '../../../clock/index.js';
 import {createRandom} from '../../../random/index.js';
-import {Admission, BackendSpeed, compareUrgency, isWorthHolding, type Ticket} from '../../index.js';
+import {
+	Admission,
+	BackendSpeed,
+	compareUrgency,
+	shouldDelayStart,
+	type AdmissionRequest,
+} from '../../index.js';
 
 const spell: Millis = 500;
 const slowness = 7;
@@ -27,8 +33,8 @@
 	});
 	// Readings come with answers and probes; here every 40 ms.
 	clock.repeat(40, () => {
-		speed.read(slowdown, clock.now());
-		admission.fill();
+		speed.addReading(slowdown, clock.now());
+		admission.dispatch();
 	});
 	clock.repeat(10, () => {
 		admission.sweep();
@@ -36,23 +42,23 @@
 	const arrive = () => {
 		arrived += 1;
 		const startedAt = clock.now();
-		const ticket: Ticket = {
+		const ticket: AdmissionRequest = {
 			customer: '',
 			share: 1,
 			priority: 0,
 			work,
 			objective: new Deadline(startedAt + objective),
 			deadline: new Deadline(startedAt + timeout),
-			isBounceable: false,
-			holdTime() {
-				const spellLeft = speed.spellLeft();
+			canRetryElsewhere: false,
+			startDelay() {
+				const spellLeft = speed.slowPeriodLeft();
 				const {lastSlowdown, isSlow} = speed;
 				const isHeld =
 					isSlow &&
-					isWorthHolding({
+					shouldDelayStart({
 						work,
 						slowdown: lastSlowdown,
-						spellLeft,
+						slowPeriodLeft: spellLeft,
 						timeLeft: startedAt + timeout - clock.now(),
 					});
 				return isHolding && isHeld ? spellLeft : 0;
@@ -65,7 +71,7 @@
 			},
 			refuse: () => undefined,
 		};
-		admission.request(ticket);
+		admission.submit(ticket);
 	};
 
 	const spacing = work / slots / 0.7;
@@ -79,13 +85,21 @@
 
 describe('isWorthHolding', () => {
 	it('holds long calls in a slow spell and lets short ones start', () => {
-		expect(isWorthHolding({work: 120, slowdown: 7, spellLeft: 250, timeLeft: 800})).toBe(true);
-		expect(isWorthHolding({work: 30, slowdown: 7, spellLeft: 250, timeLeft: 800})).toBe(false);
-		expect(isWorthHolding({work: 120, slowdown: 1, spellLeft: 250, timeLeft: 800})).toBe(false);
+		expect(shouldDelayStart({work: 120, slowdown: 7, slowPeriodLeft: 250, timeLeft: 800})).toBe(
+			true,
+		);
+		expect(shouldDelayStart({work: 30, slowdown: 7, slowPeriodLeft: 250, timeLeft: 800})).toBe(
+			false,
+		);
+		expect(shouldDelayStart({work: 120, slowdown: 1, slowPeriodLeft: 250, timeLeft: 800})).toBe(
+			false,
+		);
 	});
 
 	it('starts nothing that cannot end in time at this speed', () => {
-		expect(isWorthHolding({work: 30, slowdown: 7, spellLeft: 250, timeLeft: 200})).toBe(true);
+		expect(shouldDelayStart({work: 30, slowdown: 7, slowPeriodLeft: 250, timeLeft: 200})).toBe(
+			true,
+		);
 	});
 
 	it.each([1, 2, 3])('answers more callers in time at 70% load (seed %i)', (seed) => {
@@ -99,7 +113,7 @@
 });
 
 describe('Admission with held calls', () => {
-	function createTicket(change: Partial<Ticket>): Ticket & {state: string} {
+	function createTicket(change: Partial<AdmissionRequest>): AdmissionRequest & {state: string} {
 		const ticket = {
 			customer: '',
 			share: 1,
@@ -107,7 +121,7 @@
 			work: 10,
 			objective: new Deadline(1000),
 			deadline: new Deadline(1000),
-			isBounceable: false,
+			canRetryElsewhere: false,
 			state: 'waiting',
 			start() {
 				ticket.state = 'started';
@@ -123,21 +137,21 @@
 	it('keeps a held call back from a free slot until the spell has ended', () => {
 		let isSlow = true;
 		const admission = new Admission(new ManualClock(), {slots: 2, queue: 5});
-		const held = createTicket({holdTime: () => (isSlow ? 100 : 0)});
-		const short = createTicket({holdTime: () => 0});
-		admission.request(held);
-		admission.request(short);
+		const held = createTicket({startDelay: () => (isSlow ? 100 : 0)});
+		const short = createTicket({startDelay: () => 0});
+		admission.submit(held);
+		admission.submit(short);
 		expect([held.state, short.state]).toEqual(['waiting', 'started']);
 		isSlow = false;
-		admission.fill();
+		admission.dispatch();
 		expect(held.state).toBe('started');
 	});
 
 	it('refuses a held call as soon as it cannot be served, not when its time is over', () => {
 		const clock = new ManualClock();
 		const admission = new Admission(clock, {slots: 2, queue: 5});
-		const held = createTicket({holdTime: () => 250, work: 100});
-		admission.request(held);
+		const held = createTicket({startDelay: () => 250, work: 100});
+		admission.submit(held);
 		clock.advance(600);
 		admission.sweep();
 		expect(held.state).toBe('waiting');
@@ -148,8 +162,8 @@
 
 	it('tells a call that can go elsewhere that the backend server is slow', () => {
 		const admission = new Admission(new ManualClock(), {slots: 2, queue: 5});
-		const ticket = createTicket({holdTime: () => 100, isBounceable: true});
-		admission.request(ticket);
+		const ticket = createTicket({startDelay: () => 100, canRetryElsewhere: true});
+		admission.submit(ticket);
 		expect(ticket.state).toBe(RefusalReason.BackendSlow);
 	});
 });
--- a/src/backend/admission.ts
+++ b/src/backend/admission.ts
@@ -5,14 +5,14 @@
 import {ServiceTime} from './service-time.js';
 
 /** A call that asks for a slot. Exactly one of `start` and `refuse` is called, once. */
-export interface Ticket extends Urgency {
+export interface AdmissionRequest extends Urgency {
 	readonly customer: string;
 	/** Weight of the customer when calls compete. */
 	readonly share: number;
 	/** Whether the call would rather be refused than wait, as it can try elsewhere. */
-	readonly isBounceable: boolean;
+	readonly canRetryElsewhere: boolean;
 	/** @returns how long the call should better wait though a slot is free, in ms; 0 to start. */
-	holdTime?(): Millis;
+	startDelay?(): Millis;
 	/** The slot is the caller's own until it is released. */
 	start(): void;
 	/**
@@ -41,8 +41,8 @@
  * is refused at once.
  */
 export class Admission {
-	private readonly running = new Map<Ticket, Millis>();
-	private readonly queue: Ticket[] = [];
+	private readonly running = new Map<AdmissionRequest, Millis>();
+	private readonly queue: AdmissionRequest[] = [];
 	private readonly usage = new Map<string, Usage>();
 	private readonly serviceTime = new ServiceTime();
 
@@ -64,14 +64,14 @@
 	 */
 	setLimits(limits: AdmissionLimits): void {
 		this.limits = limits;
-		this.fill();
+		this.dispatch();
 	}
 
 	/**
 	 * Asks for a slot; the answer may come before this returns.
 	 * @param ticket - who asks.
 	 */
-	request(ticket: Ticket): void {
+	submit(ticket: AdmissionRequest): void {
 		const reason = this.refusalFor(ticket);
 		if (reason !== undefined) {
 			ticket.refuse(reason);
@@ -87,7 +87,7 @@
 	 * @param ticket - who no longer waits.
 	 * @returns whether it was waiting.
 	 */
-	withdraw(ticket: Ticket): boolean {
+	withdraw(ticket: AdmissionRequest): boolean {
 		const index = this.queue.indexOf(ticket);
 		if (index === -1) {
 			return false;
@@ -104,14 +104,14 @@
 	 * @param ticket - whose slot it was.
 	 * @param isFailure - whether the backend server failed.
 	 */
-	release(ticket: Ticket, isFailure: boolean): void {
+	release(ticket: AdmissionRequest, isFailure: boolean): void {
 		const startedAt = this.running.get(ticket);
 		invariant(startedAt !== undefined, 'a slot is released once, by who holds it');
 		this.running.delete(ticket);
 		this.use(ticket).running -= 1;
 		this.dropUnused(ticket.customer);
 		this.serviceTime.add(this.clock.now() - startedAt, isFailure);
-		this.fill();
+		this.dispatch();
 	}
 
 	/** Refuses those whose time has become too short; called every few ms. */
@@ -139,7 +139,7 @@
 	}
 
 	/** Starts what may start; called when the backend server has become fast again. */
-	fill(): void {
+	dispatch(): void {
 		this.sweep();
 		while (this.running.size < this.limits.slots) {
 			const ticket = this.nextTicket();
@@ -163,7 +163,7 @@
 		};
 	}
 
-	private refusalFor(ticket: Ticket): RefusalReason | undefined {
+	private refusalFor(ticket: AdmissionRequest): RefusalReason | undefined {
 		const timeLeft = ticket.deadline.timeLeft(this.clock.now());
 		if (timeLeft <= 0) {
 			return RefusalReason.DeadlinePassed;
@@ -175,7 +175,7 @@
 			return undefined;
 		}
 
-		if (ticket.isBounceable) {
+		if (ticket.canRetryElsewhere) {
 			return isFull ? RefusalReason.Busy : RefusalReason.BackendSlow;
 		}
 
@@ -191,7 +191,7 @@
 	}
 
 	// A full queue makes room for a customer within its share at the cost of one beyond its own.
-	private hasRoomFor(ticket: Ticket): boolean {
+	private hasRoomFor(ticket: AdmissionRequest): boolean {
 		if (this.queue.length < this.limits.queue) {
 			return true;
 		}
@@ -209,14 +209,14 @@
 	}
 
 	// A customer may use all that is free, but not more than its share once others compete.
-	private isOverShare(ticket: Ticket, newcomer: Ticket): boolean {
+	private isOverShare(ticket: AdmissionRequest, newcomer: AdmissionRequest): boolean {
 		const usage = this.usage.get(ticket.customer);
 		const used = (usage?.running ?? 0) + (usage?.queued ?? 0);
 		const capacity = this.limits.slots + this.limits.queue;
 		return used >= Math.max(1, (capacity * ticket.share) / this.totalShare(newcomer));
 	}
 
-	private totalShare(newcomer: Ticket): number {
+	private totalShare(newcomer: AdmissionRequest): number {
 		let total = newcomer.share;
 		for (const [customer, usage] of this.usage) {
 			total += customer === newcomer.customer ? 0 : usage.share;
@@ -225,7 +225,7 @@
 		return total;
 	}
 
-	private predictedTime(ticket: Ticket): Millis {
+	private predictedTime(ticket: AdmissionRequest): Millis {
 		let ahead = 1;
 		let ownAhead = 1;
 		for (const other of this.queue) {
@@ -240,7 +240,7 @@
 		const places = Math.min(ahead, fairAhead) + excess;
 		const current = this.currentServiceTime();
 		const serviceTime = this.serviceTime.isKnown ? current : Math.max(current, ticket.work);
-		const hold = ticket.holdTime?.() ?? 0;
+		const hold = ticket.startDelay?.() ?? 0;
 		return hold + (places / Math.max(1, this.limits.slots)) * serviceTime + serviceTime;
 	}
 
@@ -257,24 +257,24 @@
 	}
 
 	// What can no longer be served is refused at once, while its caller has time to come back.
-	private minimumTime(ticket: Ticket): Millis {
-		const hold = ticket.holdTime?.() ?? 0;
+	private minimumTime(ticket: AdmissionRequest): Millis {
+		const hold = ticket.startDelay?.() ?? 0;
 		return Math.max(this.serviceTime.average / 2, hold + ticket.work * shortRun);
 	}
 
-	private begin(ticket: Ticket): void {
+	private begin(ticket: AdmissionRequest): void {
 		this.running.set(ticket, this.clock.now());
 		this.use(ticket).running += 1;
 		ticket.start();
 	}
 
-	private enqueue(ticket: Ticket): void {
+	private enqueue(ticket: AdmissionRequest): void {
 		this.queue.push(ticket);
 		this.use(ticket).queued += 1;
 	}
 
-	private nextTicket(): Ticket | undefined {
-		let best: Ticket | undefined;
+	private nextTicket(): AdmissionRequest | undefined {
+		let best: AdmissionRequest | undefined;
 		for (const ticket of this.queue) {
 			if (isHeld(ticket)) {
 				continue;
@@ -294,15 +294,15 @@
 		return best;
 	}
 
-	private compare(a: Ticket, b: Ticket): number {
+	private compare(a: AdmissionRequest, b: AdmissionRequest): number {
 		return compareUrgency(a, b, this.clock.now());
 	}
 
-	private pressure(ticket: Ticket): number {
+	private pressure(ticket: AdmissionRequest): number {
 		return (this.usage.get(ticket.customer)?.running ?? 0) / ticket.share;
 	}
 
-	private use(ticket: Ticket): Usage {
+	private use(ticket: AdmissionRequest): Usage {
 		let usage = this.usage.get(ticket.customer);
 		if (!usage) {
 			usage = {running: 0, queued: 0, share: ticket.share};
@@ -320,6 +320,6 @@
 	}
 }
 
-function isHeld(ticket: Ticket): boolean {
-	return (ticket.holdTime?.() ?? 0) > 0;
+function isHeld(ticket: AdmissionRequest): boolean {
+	return (ticket.startDelay?.() ?? 0) > 0;
 }
--- a/src/backend/backend-speed.ts
+++ b/src/backend/backend-speed.ts
@@ -52,7 +52,7 @@
 	 * @param slowdown - how many times longer than usual work takes.
 	 * @param now - monotonic time in ms.
 	 */
-	read(slowdown: number, now: Millis): void {
+	addReading(slowdown: number, now: Millis): void {
 		this.last = Math.min(maxSlowdown, Math.max(minSlowdown, slowdown));
 		this.mean += (this.last - this.mean) * meanWeight;
 		this.noteRecent({slowdown: this.last, at: now});
@@ -70,7 +70,7 @@
 	}
 
 	/** @returns how long a slow spell still lasts on the mean, in ms. */
-	spellLeft(): Millis {
+	slowPeriodLeft(): Millis {
 		return this.spellLength / 2;
 	}
 
--- a/src/backend/crowding.ts
+++ b/src/backend/crowding.ts
@@ -26,7 +26,7 @@
  * Learns whether a backend server slows down when it is nearly full, and limits its calls if so. It
  * begins with the limit, as a backend server that was just started meets a backlog.
  */
-export class Crowding {
+export class Saturation {
 	private crowded: Side = {mean: 1, samples: 0};
 	private readonly free: Side = {mean: 1, samples: 0};
 	private limitedSince: Millis | undefined;
@@ -42,18 +42,18 @@
 	 * @param slots - slots of the backend server.
 	 * @returns whether it is crowded.
 	 */
-	isCrowded(running: number, slots: number): boolean {
+	isSaturated(running: number, slots: number): boolean {
 		return running > slots * crowdedShare;
 	}
 
 	/**
 	 * A call has ended that began at the usual speed.
-	 * @param isCrowded - whether the backend server was crowded when it began.
+	 * @param wasSaturated - whether the backend server was crowded when it began.
 	 * @param ran - how long it ran, in ms.
 	 * @param work - how long such calls run on the mean, in ms.
 	 */
-	note(isCrowded: boolean, ran: Millis, work: Millis): void {
-		add(isCrowded ? this.crowded : this.free, ran / Math.max(1, work));
+	recordRun(wasSaturated: boolean, ran: Millis, work: Millis): void {
+		add(wasSaturated ? this.crowded : this.free, ran / Math.max(1, work));
 	}
 
 	/**
--- a/src/backend/pacing.ts
+++ b/src/backend/pacing.ts
@@ -1,13 +1,13 @@
 import type {Millis} from '../clock/index.js';
 
 /** What the start of a call at a slow backend server depends on. */
-export interface PacingParts {
+export interface PacingInput {
 	/** Time that the call takes at the usual speed, in ms. */
 	readonly work: Millis;
 	/** How many times longer than usual work takes now. */
 	readonly slowdown: number;
 	/** How long the slow spell still lasts on the mean, in ms. */
-	readonly spellLeft: Millis;
+	readonly slowPeriodLeft: Millis;
 	/** How long the caller still waits, in ms. */
 	readonly timeLeft: Millis;
 }
@@ -21,6 +21,11 @@
  * @param parts - what it depends on.
  * @returns whether the call should wait for the end of the spell.
  */
-export function isWorthHolding({work, slowdown, spellLeft, timeLeft}: PacingParts): boolean {
+export function shouldDelayStart({
+	work,
+	slowdown,
+	slowPeriodLeft: spellLeft,
+	timeLeft,
+}: PacingInput): boolean {
 	return work * (slowdown - 1) > spellLeft || work * slowdown > timeLeft;
 }
--- a/src/budget/ratio-budget.ts
+++ b/src/budget/ratio-budget.ts
@@ -17,7 +17,7 @@
 	 * A call has come in.
 	 * @param share - further attempts allowed for each call.
 	 */
-	earn(share: number): void {
+	deposit(share: number): void {
 		this.tokens = Math.min(this.burst, this.tokens + share);
 	}
 
--- a/src/call/__tests__/unit/attempt-ledger.test.ts
+++ b/src/call/__tests__/unit/attempt-ledger.test.ts
@@ -7,14 +7,14 @@
 describe('AttemptLedger', () => {
 	it('fences an attempt that was asked for before it came', () => {
 		const ledger = new AttemptLedger();
-		expect(ledger.askAndFence({instance, sequence: 7}, 0)).toBe(AttemptState.Fenced);
+		expect(ledger.queryAndFence({instance, sequence: 7}, 0)).toBe(AttemptState.Fenced);
 		expect(ledger.admit({instance, sequence: 7}, 1)).toBe(false);
 	});
 
 	it('keeps an admitted attempt from being written once it was asked for', () => {
 		const ledger = new AttemptLedger();
 		ledger.admit({instance, sequence: 1}, 0);
-		expect(ledger.askAndFence({instance, sequence: 1}, 1)).toBe(AttemptState.Fenced);
+		expect(ledger.queryAndFence({instance, sequence: 1}, 1)).toBe(AttemptState.Fenced);
 		expect(ledger.markRan({instance, sequence: 1})).toBe(false);
 	});
 
@@ -22,7 +22,7 @@
 		const ledger = new AttemptLedger();
 		ledger.admit({instance, sequence: 1}, 0);
 		expect(ledger.markRan({instance, sequence: 1})).toBe(true);
-		expect(ledger.askAndFence({instance, sequence: 1}, 1)).toBe(AttemptState.Ran);
+		expect(ledger.queryAndFence({instance, sequence: 1}, 1)).toBe(AttemptState.Ran);
 	});
 
 	it('refuses what it has forgotten', () => {
@@ -30,7 +30,7 @@
 		ledger.admit({instance, sequence: 5}, 0);
 		ledger.markRan({instance, sequence: 5});
 		ledger.expire(10 * 60_000);
-		expect(ledger.askAndFence({instance, sequence: 5}, 10 * 60_000)).toBe(AttemptState.Forgotten);
+		expect(ledger.queryAndFence({instance, sequence: 5}, 10 * 60_000)).toBe(AttemptState.Forgotten);
 		expect(ledger.admit({instance, sequence: 5}, 10 * 60_000)).toBe(false);
 	});
 
@@ -56,7 +56,7 @@
 						expect(notRun.has(sequence)).toBe(false);
 						ran.add(sequence);
 					} else if (kind === 'ask') {
-						const state = ledger.askAndFence(id, now);
+						const state = ledger.queryAndFence(id, now);
 						if (state === AttemptState.Fenced) {
 							expect(ran.has(sequence)).toBe(false);
 							notRun.add(sequence);
--- a/src/call/attempt-ledger.ts
+++ b/src/call/attempt-ledger.ts
@@ -78,7 +78,7 @@
 	 * @param now - monotonic time in ms.
 	 * @returns its state; `Fenced` and `Refused` prove that it did not run and never will.
 	 */
-	askAndFence(id: AttemptId, now: Millis): AttemptState {
+	queryAndFence(id: AttemptId, now: Millis): AttemptState {
 		const book = this.book(id.instance);
 		if (id.sequence < book.forgottenBelow) {
 			return AttemptState.Forgotten;
--- a/src/call/crash-guard.ts
+++ b/src/call/crash-guard.ts
@@ -52,7 +52,7 @@
 	 * @param fingerprint - its hash.
 	 * @param now - monotonic time in ms.
 	 */
-	noteAnswered(fingerprint: string, now: Millis): void {
+	recordAnswered(fingerprint: string, now: Millis): void {
 		this.suspicions.delete(fingerprint);
 		this.answered.delete(fingerprint);
 		this.answered.set(fingerprint, now);
@@ -79,7 +79,7 @@
 	 * @param now - monotonic time in ms.
 	 * @returns requests that are held from now on.
 	 */
-	noteCrash(report: CrashReport, now: Millis): string[] {
+	recordCrash(report: CrashReport, now: Millis): string[] {
 		const held: string[] = [];
 		for (const fingerprint of report.fingerprints) {
 			const suspicion = this.suspicion(fingerprint, now);
--- a/src/call/refusal-reason.ts
+++ b/src/call/refusal-reason.ts
@@ -50,14 +50,14 @@
 	/** Value for `Retry-After`, in ms; undefined where sending again does not help. */
 	readonly retryAfter: Millis | undefined;
 	/** Whether another executor may be tried at once. */
-	readonly isElsewhereUseful: boolean;
+	readonly canRetryElsewhere: boolean;
 }
 
 const unavailable = 503;
 const gatewayTimeout = 504;
 
 function notRun(status: number, retryAfter?: Millis, isElsewhereUseful = false): Refusal {
-	return {outcome: Outcome.NotRun, status, retryAfter, isElsewhereUseful};
+	return {outcome: Outcome.NotRun, status, retryAfter, canRetryElsewhere: isElsewhereUseful};
 }
 
 function unknown(): Refusal {
@@ -65,14 +65,14 @@
 		outcome: Outcome.Unknown,
 		status: gatewayTimeout,
 		retryAfter: undefined,
-		isElsewhereUseful: false,
+		canRetryElsewhere: false,
 	};
 }
 
 /** This copy did not run, but whether an earlier copy did could not be asked. */
 function notChecked(status: number): Refusal {
 	const retryAfter = 5 * second;
-	return {outcome: Outcome.Unknown, status, retryAfter, isElsewhereUseful: false};
+	return {outcome: Outcome.Unknown, status, retryAfter, canRetryElsewhere: false};
 }
 
 /** The catalogue of refusals: the same status and words for every refusal of one reason. */
@@ -117,6 +117,6 @@
 		outcome: Outcome.Answered,
 		status: 409,
 		retryAfter: undefined,
-		isElsewhereUseful: false,
+		canRetryElsewhere: false,
 	},
 };
--- a/src/executor/executor.ts
+++ b/src/executor/executor.ts
@@ -1,10 +1,10 @@
 import {
 	Admission,
 	BackendSpeed,
-	Crowding,
-	isWorthHolding,
+	Saturation,
+	shouldDelayStart,
 	type AdmissionLimits,
-	type Ticket,
+	type AdmissionRequest,
 } from '../backend/index.js';
 import {
 	AttemptLedger,
@@ -64,7 +64,7 @@
 
 type Target = {client: BackendClient; service: string; instance: string};
 type Running = {
-	ticket: Ticket;
+	ticket: AdmissionRequest;
 	startedAt: Millis;
 	waited: Millis;
 	slowdown: number;
@@ -90,7 +90,7 @@
 	private readonly admission: Admission;
 	private readonly speed = new BackendSpeed();
 	private readonly profiles = new CallProfiles();
-	private readonly crowding = new Crowding();
+	private readonly crowding = new Saturation();
 	private limits: AdmissionLimits = {slots: 1, queue: 0};
 	private readonly inFlight = new Map<Attempt, Running>();
 	private target: Target | undefined;
@@ -180,7 +180,7 @@
 	 * @returns what became of it; it is fenced if it has not run.
 	 */
 	askAndFence(id: AttemptId): AttemptState {
-		return this.ledger.askAndFence(id, this.parts.clock.now());
+		return this.ledger.queryAndFence(id, this.parts.clock.now());
 	}
 
 	/**
@@ -205,8 +205,8 @@
 	readSpeed(slowdown: number): void {
 		const now = this.parts.clock.now();
 		const before = this.speed.slowdown(now);
-		this.speed.read(slowdown, now);
-		this.admission.fill();
+		this.speed.addReading(slowdown, now);
+		this.admission.dispatch();
 		if (Math.max(before / slowdown, slowdown / before) > notableChange) {
 			this.parts.noteLoadChanged();
 		}
@@ -255,15 +255,15 @@
 
 		const {promise, resolve} = withResolvers<AttemptResult>();
 		const askedAt = this.parts.clock.now();
-		const ticket: Ticket = {
+		const ticket: AdmissionRequest = {
 			priority: attempt.head.origin.priority,
 			objective: attempt.objective,
 			work: this.expectedWork(attempt),
 			customer: attempt.head.customer,
 			share: attempt.share,
 			deadline: attempt.deadline,
-			isBounceable: attempt.isBounceable,
-			holdTime: () => this.holdTime(attempt),
+			canRetryElsewhere: attempt.isBounceable,
+			startDelay: () => this.holdTime(attempt),
 			start: () => {
 				const waited = this.parts.clock.now() - askedAt;
 				void this.send(attempt, ticket, waited).then(resolve);
@@ -277,7 +277,7 @@
 				resolve(createRefused(RefusalReason.DeadlinePassed));
 			}
 		});
-		this.admission.request(ticket);
+		this.admission.submit(ticket);
 		this.sweepLater();
 		return promise;
 	}
@@ -312,8 +312,8 @@
 		const work = this.expectedWork(attempt);
 		const timeLeft = attempt.deadline.timeLeft(this.parts.clock.now());
 		const slowdown = this.speed.lastSlowdown / this.speed.baseline;
-		const spellLeft = this.speed.spellLeft();
-		return isWorthHolding({work, slowdown, spellLeft, timeLeft}) ? spellLeft : 0;
+		const spellLeft = this.speed.slowPeriodLeft();
+		return shouldDelayStart({work, slowdown, slowPeriodLeft: spellLeft, timeLeft}) ? spellLeft : 0;
 	}
 
 	// Outside of slow spells; a cold backend server takes longer all the time.
@@ -336,7 +336,11 @@
 		return isHeld ? RefusalReason.Held : undefined;
 	}
 
-	private async send(attempt: Attempt, ticket: Ticket, waited: Millis): Promise<AttemptResult> {
+	private async send(
+		attempt: Attempt,
+		ticket: AdmissionRequest,
+		waited: Millis,
+	): Promise<AttemptResult> {
 		const {target} = this;
 		if (!target) {
 			this.admission.release(ticket, false);
@@ -345,7 +349,7 @@
 
 		const now = this.parts.clock.now();
 		const slowdown = this.speed.slowdown(now);
-		const isCrowded = this.crowding.isCrowded(this.inFlight.size + 1, this.limits.slots);
+		const isCrowded = this.crowding.isSaturated(this.inFlight.size + 1, this.limits.slots);
 		this.inFlight.set(attempt, {ticket, startedAt: now, waited, slowdown, isCrowded});
 		this.noteLevel();
 		const result = await target.client.send(
@@ -434,7 +438,7 @@
 
 		const ran = this.parts.clock.now() - running.startedAt;
 		const {route} = attempt.head.origin;
-		this.crowding.note(running.isCrowded, ran, this.profiles.of(route, ran).work);
+		this.crowding.recordRun(running.isCrowded, ran, this.profiles.of(route, ran).work);
 		if (!running.isCrowded) {
 			this.profiles.add(route, ran, 0);
 		}
--- a/src/ingress/__tests__/unit/call-runner.test.ts
+++ b/src/ingress/__tests__/unit/call-runner.test.ts
@@ -225,14 +225,14 @@
 		);
 		const placement: Placement = {
 			choose: ({excluded}) => executors.find(({id}) => !excluded.has(id)),
-			reasonForNone: () => RefusalReason.NoBackend,
+			noExecutorReason: () => RefusalReason.NoBackend,
 			hedgeDelay: () => 100,
-			secondExecutor: ({excluded}, _executor, elapsed) =>
+			hedgeExecutor: ({excluded}, _executor, elapsed) =>
 				elapsed > 300 ? executors.find(({id}) => !excluded.has(id)) : undefined,
-			roomIn: () => undefined,
-			patience: () => 0,
-			noteSent: () => undefined,
-			noteEnded: () => undefined,
+			retryAfterHint: () => undefined,
+			maxWaitForExecutor: () => 0,
+			recordSent: () => undefined,
+			recordEnded: () => undefined,
 			avoid: () => undefined,
 			forget: () => undefined,
 		};
--- a/src/ingress/call-budgets.ts
+++ b/src/ingress/call-budgets.ts
@@ -21,8 +21,8 @@
 	 */
 	earn(policy: CallPolicy): void {
 		const {retries, hedges} = this.of(policy.service);
-		retries.earn(policy.retryShare);
-		hedges.earn(policy.hedgeShare);
+		retries.deposit(policy.retryShare);
+		hedges.deposit(policy.hedgeShare);
 	}
 
 	/**
--- a/src/ingress/call-runner.ts
+++ b/src/ingress/call-runner.ts
@@ -104,7 +104,7 @@
 	 */
 	async run(call: Call): Promise<CallEnd> {
 		this.budgets.earn(call.policy);
-		this.bounces.earn(bounceShare);
+		this.bounces.deposit(bounceShare);
 		const progress: Progress = {
 			attempts: 0,
 			arrivals: 0,
@@ -130,7 +130,7 @@
 				// eslint-disable-next-line no-await-in-loop
 				(await this.awaitExecutor(call, progress));
 			if (!executor) {
-				last ??= createRefused(this.parts.placement.reasonForNone(this.query(call, progress)));
+				last ??= createRefused(this.parts.placement.noExecutorReason(this.query(call, progress)));
 				break;
 			}
 
@@ -162,7 +162,7 @@
 		const {attempts, executor} = progress;
 		const isRefused = result.end === AttemptEnd.Refused;
 		const roomIn = isRefused
-			? this.parts.placement.roomIn({...this.query(call, progress), excluded: new Set()})
+			? this.parts.placement.retryAfterHint({...this.query(call, progress), excluded: new Set()})
 			: undefined;
 		return {result, attempts, executor, roomIn};
 	}
@@ -225,7 +225,7 @@
 	// One may come back soon, and a refused caller may have no further try.
 	private async awaitExecutor(call: Call, progress: Progress): Promise<Member | undefined> {
 		const {clock, placement} = this.parts;
-		const until = clock.now() + placement.patience(this.query(call, progress));
+		const until = clock.now() + placement.maxWaitForExecutor(this.query(call, progress));
 		while (clock.now() < until && !call.cancellation.isCanceled) {
 			await pause(clock, awaitPeriod); // eslint-disable-line no-await-in-loop
 			const executor = this.choose(call, progress);
@@ -293,7 +293,7 @@
 		}
 
 		const query = this.query(call, progress);
-		const other = placement.secondExecutor(query, executor, clock.now() - sentAt);
+		const other = placement.hedgeExecutor(query, executor, clock.now() - sentAt);
 		if (!other || !this.budgets.trySpendHedge(call.policy.service)) {
 			return;
 		}
@@ -322,7 +322,7 @@
 		progress.tried.add(executor.id);
 		metrics.attempts.inc();
 		const query = this.query(call, progress);
-		placement.noteSent(query, executor);
+		placement.recordSent(query, executor);
 		const startedAt = clock.now();
 		const run = async (): Promise<AttemptResult> => {
 			const result = await this.parts.runnerTo(executor.id).run(attempt);
@@ -354,7 +354,7 @@
 		const answerBytes = isAnswered ? (result.body.bytes?.length ?? 0) : undefined;
 		const isFailure =
 			(isAnswered && result.status >= serverErrorStatus) || result.end === AttemptEnd.Unknown;
-		placement.noteEnded(query, executor, {sentAt, load, answerBytes, isFailure});
+		placement.recordEnded(query, executor, {sentAt, load, answerBytes, isFailure});
 		const isFault =
 			!isAnswered &&
 			(result.reason === RefusalReason.LinkUnreachable ||
@@ -412,7 +412,7 @@
 	}
 
 	private mayTryElsewhere(call: Call, reason: RefusalReason, progress: Progress): boolean {
-		if (!refusals[reason].isElsewhereUseful) {
+		if (!refusals[reason].canRetryElsewhere) {
 			return false;
 		}
 
--- a/src/ingress/nearest-first-placement.ts
+++ b/src/ingress/nearest-first-placement.ts
@@ -6,7 +6,7 @@
 import {
 	findCandidates,
 	isOtherRegionNeeded,
-	type AttemptNews,
+	type AttemptOutcome,
 	type ExpectedWaitPolicy,
 	type Placement,
 	type PlacementQuery,
@@ -52,7 +52,7 @@
 		return all.length > 0 ? routing.choose({candidates: all, timeLeft}) : undefined;
 	}
 
-	reasonForNone(query: PlacementQuery): RefusalReason {
+	noExecutorReason(query: PlacementQuery): RefusalReason {
 		const {gossip} = this.parts;
 		const {far} = findCandidates(gossip.directory, gossip.account, query.service, nobody);
 		const isHeldByBudget = this.isOtherRegionAllowed(query) && far.length > 0;
@@ -63,27 +63,27 @@
 		return this.hedgeTimer.delayFor(query.service);
 	}
 
-	secondExecutor(query: PlacementQuery): Member | undefined {
+	hedgeExecutor(query: PlacementQuery): Member | undefined {
 		return this.choose(query);
 	}
 
-	patience(): Millis {
+	maxWaitForExecutor(): Millis {
 		return 0;
 	}
 
-	roomIn(): Millis | undefined {
+	retryAfterHint(): Millis | undefined {
 		return undefined;
 	}
 
-	noteSent(query: PlacementQuery, executor: Member): void {
-		this.parts.routing.noteSent(executor.id);
+	recordSent(query: PlacementQuery, executor: Member): void {
+		this.parts.routing.recordSent(executor.id);
 		if (distanceBetween(this.parts.gossip.account, executor) === Distance.OtherRegion) {
 			this.linkBudget(executor)?.charge(callOverheadBytes + query.requestBytes);
 		}
 	}
 
-	noteEnded(query: PlacementQuery, executor: Member, news: AttemptNews): void {
-		this.parts.routing.noteEnded(executor.id, news.sentAt, news.load);
+	recordEnded(query: PlacementQuery, executor: Member, news: AttemptOutcome): void {
+		this.parts.routing.recordEnded(executor.id, news.sentAt, news.load);
 		if (news.answerBytes !== undefined) {
 			this.hedgeTimer.add(query.service, this.parts.clock.now() - news.sentAt);
 		}
--- a/src/node/crash-watcher.ts
+++ b/src/node/crash-watcher.ts
@@ -38,7 +38,7 @@
 	}
 
 	noteAnswered(fingerprint: string): void {
-		this.guard.noteAnswered(fingerprint, this.parts.clock.now());
+		this.guard.recordAnswered(fingerprint, this.parts.clock.now());
 	}
 
 	noteBroken(fingerprints: readonly string[]): void {
@@ -62,7 +62,7 @@
 	hear(rumor: Rumor): void {
 		if (rumor.kind === RumorKind.Crash) {
 			const report = {crashId: rumor.id, fingerprints: rumor.fields};
-			for (const fingerprint of this.guard.noteCrash(report, this.parts.clock.now())) {
+			for (const fingerprint of this.guard.recordCrash(report, this.parts.clock.now())) {
 				this.parts.logger.log(logEvents.requestHeld, {fingerprint});
 			}
 		} else if (rumor.kind === RumorKind.HoldLifted) {
--- a/src/routing/__tests__/unit/executor-draw.test.ts
+++ b/src/routing/__tests__/unit/executor-draw.test.ts
@@ -2,7 +2,7 @@
 import {ManualClock, type Millis} from '../../../clock/index.js';
 import {createSelf, Directory, MemberPhase, type Member} from '../../../membership/index.js';
 import {createRandom} from '../../../random/index.js';
-import {ExecutorDraw} from '../../executor-draw.js';
+import {ExecutorSampler} from '../../executor-draw.js';
 import {ObjectivePlacement} from '../../index.js';
 import {createQuery} from '../test-query.js';
 
@@ -27,16 +27,16 @@
 describe('ExecutorDraw', () => {
 	it('are all members of a small service', () => {
 		const {directory, self, members} = createWorld(40);
-		const drawn = new Set(new ExecutorDraw(directory, self, createRandom(1)).draw('s', none));
+		const drawn = new Set(new ExecutorSampler(directory, self, createRandom(1)).sample('s', none));
 		expect(drawn).toEqual(new Set(members));
 	});
 
 	it('are a bounded number of a large one, and each of a distance as often as the others', () => {
 		const {directory, self} = createWorld(107);
-		const candidates = new ExecutorDraw(directory, self, createRandom(1));
+		const candidates = new ExecutorSampler(directory, self, createRandom(1));
 		const counts = new Map<Member, number>();
 		for (let i = 0; i < 540; i++) {
-			const drawn = [...candidates.draw('s', none)];
+			const drawn = [...candidates.sample('s', none)];
 			expect(drawn.length).toBeLessThanOrEqual(18);
 			for (const member of drawn) {
 				counts.set(member, (counts.get(member) ?? 0) + 1);
@@ -52,13 +52,13 @@
 
 	it('hold who told its load last, and nobody who is excluded or gone', () => {
 		const {directory, self, members} = createWorld(107);
-		const candidates = new ExecutorDraw(directory, self, createRandom(1));
+		const candidates = new ExecutorSampler(directory, self, createRandom(1));
 		const far = members[105]!;
-		candidates.noteFresh(far.id);
-		expect([...candidates.draw('s', none)]).toContain(far);
-		expect([...candidates.draw('s', new Set([far.id]))]).not.toContain(far);
+		candidates.recordReport(far.id);
+		expect([...candidates.sample('s', none)]).toContain(far);
+		expect([...candidates.sample('s', new Set([far.id]))]).not.toContain(far);
 		directory.forget(far.id);
-		expect([...candidates.draw('s', none)]).not.toContain(far);
+		expect([...candidates.sample('s', none)]).not.toContain(far);
 	});
 
 	it('find the only one that serves among many that do not', () => {
@@ -67,7 +67,7 @@
 			directory.merge({...member, version: 2, phase: MemberPhase.Draining});
 		}
 
-		expect([...new ExecutorDraw(directory, self, createRandom(1)).draw('s', none)]).toEqual([
+		expect([...new ExecutorSampler(directory, self, createRandom(1)).sample('s', none)]).toEqual([
 			members[0],
 		]);
 	});
@@ -120,10 +120,10 @@
 		const chosen = isOwn ? placement.choose(query)! : near[chance.below(near.length)]!;
 		const sentAt = clock.now();
 		const work: Millis = 120 * (0.7 + 0.6 * chance.next()) * slowdowns.get(chosen.id)!;
-		placement.noteSent(query, chosen);
+		placement.recordSent(query, chosen);
 		clock.after(work, () => {
 			const news = {sentAt, load: report(chosen.id), answerBytes: 5000, isFailure: false};
-			placement.noteEnded(query, chosen, news);
+			placement.recordEnded(query, chosen, news);
 			inTime += clock.now() - sentAt <= 400 ? 1 : 0;
 		});
 	});
--- a/src/routing/__tests__/unit/objective-placement.test.ts
+++ b/src/routing/__tests__/unit/objective-placement.test.ts
@@ -53,8 +53,8 @@
 
 	it('leaves the zone for the answer that would be late, and comes back when the news is old', () => {
 		const {placement, clock, near, zone} = createWorld();
-		placement.noteLoad('near', {...usual, slowdown: 7});
-		placement.noteLoad('zone', usual);
+		placement.recordLoad('near', {...usual, slowdown: 7});
+		placement.recordLoad('zone', usual);
 		expect(placement.choose(createQuery())).toBe(zone);
 		clock.advance(3000);
 		expect(placement.choose(createQuery())).toBe(near);
@@ -63,10 +63,10 @@
 	it('crosses the paid link for an urgent request and not for a cheap one', () => {
 		const {placement, region} = createWorld();
 		for (const id of ['near', 'zone']) {
-			placement.noteLoad(id, {...usual, inFlight: 9, queued: 18});
+			placement.recordLoad(id, {...usual, inFlight: 9, queued: 18});
 		}
 
-		placement.noteLoad('region', usual);
+		placement.recordLoad('region', usual);
 		const kind = {requestBytes: 6000};
 		expect(placement.choose(createQuery({...kind, priority: 0}))).toBe(region);
 		expect(placement.choose(createQuery({...kind, priority: 2}))).not.toBe(region);
@@ -75,7 +75,7 @@
 	it('counts its own calls at once, before any report', () => {
 		const {placement, near, zone} = createWorld();
 		for (let i = 0; i < 30; i++) {
-			placement.noteSent(createQuery(), near);
+			placement.recordSent(createQuery(), near);
 		}
 
 		expect(placement.choose(createQuery())).toBe(zone);
@@ -84,32 +84,32 @@
 	it('gives no second attempt to a call that is not overdue', () => {
 		const {placement, near} = createWorld();
 		const excluded = new Set(['near']);
-		expect(placement.secondExecutor(createQuery({excluded}), near, 50)).toBeUndefined();
+		expect(placement.hedgeExecutor(createQuery({excluded}), near, 50)).toBeUndefined();
 		const late = createQuery({objectiveLeft: 200, excluded});
-		expect(placement.secondExecutor(late, near, 200)?.id).toBe('zone');
+		expect(placement.hedgeExecutor(late, near, 200)?.id).toBe('zone');
 	});
 
 	it('gives a second attempt at once to a call that was sent into a slow spell', () => {
 		const {placement, clock, near, zone} = createWorld();
 		clock.advance(30);
-		placement.noteLoad('near', {...usual, slowdown: 7});
-		placement.noteLoad('zone', usual);
+		placement.recordLoad('near', {...usual, slowdown: 7});
+		placement.recordLoad('zone', usual);
 		clock.advance(10);
 		const query = createQuery({objectiveLeft: 360});
-		expect(placement.secondExecutor(query, near, 40)).toBe(zone);
+		expect(placement.hedgeExecutor(query, near, 40)).toBe(zone);
 		// The spell was known before this one was sent.
-		expect(placement.secondExecutor(query, near, 5)).toBeUndefined();
+		expect(placement.hedgeExecutor(query, near, 5)).toBeUndefined();
 	});
 
 	it('waits for an executor only when there is none', () => {
 		const {placement, directory} = createWorld();
-		expect(placement.patience(createQuery())).toBe(0);
+		expect(placement.maxWaitForExecutor(createQuery())).toBe(0);
 		for (const id of ['near', 'zone', 'region']) {
 			directory.forget(id);
 		}
 
-		expect(placement.reasonForNone(createQuery())).toBe(RefusalReason.NoBackend);
-		expect(placement.patience(createQuery())).toBeGreaterThan(0);
+		expect(placement.noExecutorReason(createQuery())).toBe(RefusalReason.NoBackend);
+		expect(placement.maxWaitForExecutor(createQuery())).toBeGreaterThan(0);
 	});
 
 	it.each([1, 2, 3])(
@@ -143,7 +143,7 @@
 	});
 	clock.repeat(100, () => {
 		for (const {id} of members) {
-			placement.noteLoad(id, report(id));
+			placement.recordLoad(id, report(id));
 		}
 	});
 	const start = () => {
@@ -157,11 +157,11 @@
 		const work: Millis = 120 * (0.7 + 0.6 * chance.next()) * slowdowns.get(chosen.id)!;
 		const crowded = running.get(chosen.id)! >= 9 ? 3 : 1;
 		running.set(chosen.id, running.get(chosen.id)! + 1);
-		placement.noteSent(query, chosen);
+		placement.recordSent(query, chosen);
 		clock.after(work * crowded, () => {
 			running.set(chosen.id, running.get(chosen.id)! - 1);
 			const load = report(chosen.id);
-			placement.noteEnded(query, chosen, {sentAt, load, answerBytes: 5000, isFailure: false});
+			placement.recordEnded(query, chosen, {sentAt, load, answerBytes: 5000, isFailure: false});
 			inTime += clock.now() - sentAt <= 400 ? 1 : 0;
 		});
 	};
--- a/src/routing/__tests__/unit/second-attempts.test.ts
+++ b/src/routing/__tests__/unit/second-attempts.test.ts
@@ -67,7 +67,7 @@
 		// Each executor tells its load now and then; answers tell it besides.
 		this.clock.repeat(60, () => {
 			for (const executor of this.executors) {
-				this.placement.noteLoad(executor.member.id, this.report(executor));
+				this.placement.recordLoad(executor.member.id, this.report(executor));
 			}
 
 			this.hedge();
@@ -123,13 +123,13 @@
 				executor.running.delete(run);
 				const load = this.report(executor);
 				const news = {sentAt: run.sentAt, load, answerBytes: 5000, isFailure: false};
-				this.placement.noteEnded(query, executor.member, news);
+				this.placement.recordEnded(query, executor.member, news);
 				this.end(call);
 			}),
 		};
 		call.runs.add(run);
 		executor.running.add(run);
-		this.placement.noteSent(query, executor.member);
+		this.placement.recordSent(query, executor.member);
 	}
 
 	private hedge(): void {
@@ -140,7 +140,7 @@
 			}
 
 			const elapsed = this.clock.now() - first.sentAt;
-			if (this.placement.secondExecutor(this.query(call), first.executor.member, elapsed)) {
+			if (this.placement.hedgeExecutor(this.query(call), first.executor.member, elapsed)) {
 				this.budget -= 1;
 				call.isHedged = true;
 				this.run(call);
@@ -154,7 +154,7 @@
 			run.undo();
 			run.executor.running.delete(run);
 			const news = {sentAt: run.sentAt, load: undefined, answerBytes: undefined, isFailure: false};
-			this.placement.noteEnded(this.query(call), run.executor.member, news);
+			this.placement.recordEnded(this.query(call), run.executor.member, news);
 		}
 
 		call.runs.clear();
--- a/src/routing/baselines.ts
+++ b/src/routing/baselines.ts
@@ -12,11 +12,11 @@
 		return candidates[this.random.below(candidates.length)]!;
 	}
 
-	noteSent(): void {
+	recordSent(): void {
 		// Chance has no memory.
 	}
 
-	noteEnded(): void {
+	recordEnded(): void {
 		// Chance has no memory.
 	}
 }
@@ -30,11 +30,11 @@
 		return candidates[this.next % candidates.length]!;
 	}
 
-	noteSent(): void {
+	recordSent(): void {
 		// The turn does not depend on it.
 	}
 
-	noteEnded(): void {
+	recordEnded(): void {
 		// The turn does not depend on it.
 	}
 }
@@ -58,11 +58,11 @@
 		return best;
 	}
 
-	noteSent(id: string): void {
+	recordSent(id: string): void {
 		this.outstanding.set(id, this.count(id) + 1);
 	}
 
-	noteEnded(id: string): void {
+	recordEnded(id: string): void {
 		this.outstanding.set(id, this.count(id) - 1);
 	}
 
@@ -86,11 +86,11 @@
 		return best;
 	}
 
-	noteSent(): void {
+	recordSent(): void {
 		// Only reports count.
 	}
 
-	noteEnded(id: string, _sentAt: Millis, load: LoadReport | undefined): void {
+	recordEnded(id: string, _sentAt: Millis, load: LoadReport | undefined): void {
 		if (load) {
 			this.reports.set(id, load);
 		}
--- a/src/routing/executor-draw.ts
+++ b/src/routing/executor-draw.ts
@@ -30,7 +30,7 @@
  * last. Answers a deployment with a hundred executors of a service, where looking at each costs more
  * processor time than the rest of the call and most of what is known of them is old.
  */
-export class ExecutorDraw {
+export class ExecutorSampler {
 	private readonly rings = new Map<string, Rings>();
 	private readonly fresh = new Map<string, string[]>();
 
@@ -45,7 +45,7 @@
 	 * @param excluded - members that must not be among them.
 	 * @returns members that may be given work.
 	 */
-	draw(service: string, excluded: ReadonlySet<string>): Iterable<Member> {
+	sample(service: string, excluded: ReadonlySet<string>): Iterable<Member> {
 		const {size, byDistance} = this.ringsOf(service);
 		const mayServe = (member: Member) => isRoutable(member) && !excluded.has(member.id);
 		const drawn = new Set<Member>();
@@ -73,7 +73,7 @@
 	 * A member has told its load.
 	 * @param id - the member.
 	 */
-	noteFresh(id: string): void {
+	recordReport(id: string): void {
 		const service = this.directory.get(id)?.service;
 		if (service !== undefined) {
 			const others = (this.fresh.get(service) ?? []).filter((other) => other !== id);
--- a/src/routing/executor-view.ts
+++ b/src/routing/executor-view.ts
@@ -45,14 +45,14 @@
 	}
 
 	/** An attempt goes to an executor. */
-	noteSent(id: string, now: Millis): void {
+	recordSent(id: string, now: Millis): void {
 		const view = this.of(id);
 		view.outstanding += 1;
 		view.sentAtSum += now;
 	}
 
 	/** An attempt that was sent has ended. */
-	noteEnded(id: string, sentAt: Millis): void {
+	recordEnded(id: string, sentAt: Millis): void {
 		const view = this.of(id);
 		if (view.outstanding > 0) {
 			view.outstanding -= 1;
@@ -61,7 +61,7 @@
 	}
 
 	/** An executor has told its load; one without slots has no backend server and tells nothing. */
-	noteLoad(id: string, load: LoadReport, now: Millis): void {
+	recordLoad(id: string, load: LoadReport, now: Millis): void {
 		if (load.slots > 0) {
 			const view = this.of(id);
 			view.load = load;
--- a/src/routing/expected-time.ts
+++ b/src/routing/expected-time.ts
@@ -1,7 +1,7 @@
 import type {Millis} from '../clock/index.js';
 
 /** What the time of a call at an executor depends on. */
-export interface ExpectedTimeParts {
+export interface ExpectedTimeInput {
 	/** Time that the call takes at the usual speed, in ms. */
 	readonly work: Millis;
 	/** How many times longer than usual work takes there now. */
@@ -25,7 +25,7 @@
  * @returns time until the answer is here, in ms; the executor holds a call for the end of a slow
  * spell where that is faster.
  */
-export function expectedTime(parts: ExpectedTimeParts): Millis {
+export function expectedTime(parts: ExpectedTimeInput): Millis {
 	const {work, slowdown, load, slots, roundTrip} = parts;
 	const isCrowded = (load + 1) / slots > crowdedShare;
 	const run = Math.min(work * slowdown, spellLeft + work) * (isCrowded ? crowdedSlowdown : 1);
@@ -34,7 +34,7 @@
 }
 
 /** What an answer loses by coming late. */
-export interface LatenessParts {
+export interface LatenessInput {
 	readonly expected: Millis;
 	readonly objectiveLeft: Millis;
 	readonly timeLeft: Millis;
@@ -58,7 +58,7 @@
  * @param parts - expected time and limits.
  * @returns the part of the answer's value that is expected to be lost, from 0 to 1.
  */
-export function expectedLoss(parts: LatenessParts): number {
+export function expectedLoss(parts: LatenessInput): number {
 	const {expected, objectiveLeft, timeLeft} = parts;
 	const late = chanceOfMissing(expected, objectiveLeft);
 	const missed = chanceOfMissing(expected, timeLeft);
--- a/src/routing/expected-wait-policy.ts
+++ b/src/routing/expected-wait-policy.ts
@@ -67,14 +67,14 @@
 		return best;
 	}
 
-	noteSent(id: string): void {
-		this.views.noteSent(id, this.parts.clock.now());
+	recordSent(id: string): void {
+		this.views.recordSent(id, this.parts.clock.now());
 	}
 
-	noteEnded(id: string, sentAt: Millis, load: LoadReport | undefined): void {
-		this.views.noteEnded(id, sentAt);
+	recordEnded(id: string, sentAt: Millis, load: LoadReport | undefined): void {
+		this.views.recordEnded(id, sentAt);
 		if (load) {
-			this.views.noteLoad(id, load, this.parts.clock.now());
+			this.views.recordLoad(id, load, this.parts.clock.now());
 		}
 	}
 
--- a/src/routing/objective-placement.ts
+++ b/src/routing/objective-placement.ts
@@ -9,13 +9,13 @@
 } from '../membership/index.js';
 import type {Random} from '../random/index.js';
 import {CallProfiles, isUsualSpeed} from './call-profiles.js';
-import {ExecutorDraw} from './executor-draw.js';
+import {ExecutorSampler} from './executor-draw.js';
 import {expectedLoss, expectedTime} from './expected-time.js';
 import {ExecutorViews, type ExecutorView} from './executor-view.js';
-import type {AttemptNews, Placement, PlacementQuery} from './placement.js';
+import type {AttemptOutcome, Placement, PlacementQuery} from './placement.js';
 
 /** What a way costs besides its time. */
-export interface WayCosts {
+export interface TransferCosts {
 	/** Per kilobyte to another availability zone, in answers of the least urgent rank. */
 	readonly otherZone: number;
 	/** Per kilobyte to another region, in answers of the least urgent rank. */
@@ -23,12 +23,12 @@
 }
 
 /** What a placement is made of. */
-export interface ObjectivePlacementParts {
+export interface ObjectivePlacementDependencies {
 	readonly clock: Pick<Clock, 'now'>;
 	readonly directory: Directory;
 	readonly self: () => Member;
 	readonly random: Random;
-	readonly costs: WayCosts;
+	readonly costs: TransferCosts;
 	/** @returns the rank of the least urgent requests. */
 	readonly lowestPriority: () => number;
 }
@@ -83,18 +83,18 @@
 export class ObjectivePlacement implements Placement {
 	private readonly views = new ExecutorViews();
 	private readonly profiles = new CallProfiles();
-	private readonly executors: ExecutorDraw;
+	private readonly executors: ExecutorSampler;
 	private usualSlowdown = 1;
 
-	constructor(private readonly parts: ObjectivePlacementParts) {
-		this.executors = new ExecutorDraw(parts.directory, parts.self, parts.random);
+	constructor(private readonly parts: ObjectivePlacementDependencies) {
+		this.executors = new ExecutorSampler(parts.directory, parts.self, parts.random);
 	}
 
 	choose(query: PlacementQuery): Member | undefined {
 		return this.best(query)?.member;
 	}
 
-	reasonForNone(query: PlacementQuery): RefusalReason {
+	noExecutorReason(query: PlacementQuery): RefusalReason {
 		for (const member of this.parts.directory.ofService(query.service)) {
 			if (isRoutable(member)) {
 				return RefusalReason.Busy;
@@ -111,7 +111,7 @@
 
 	// An attempt that takes longer than expected has most likely started in a slow spell; so has one
 	// whose executor tells of a spell just after the start.
-	secondExecutor(query: PlacementQuery, executor: Member, elapsed: Millis): Member | undefined {
+	hedgeExecutor(query: PlacementQuery, executor: Member, elapsed: Millis): Member | undefined {
 		const {work} = this.profiles.of(query.kind, query.objective);
 		const isOverdue = elapsed > work * hedgePatience;
 		const slowdown = this.slowdownAtStart(executor, elapsed) ?? (isOverdue ? slowSpell : undefined);
@@ -127,14 +127,14 @@
 	}
 
 	// Executors are away for about a second when their nodes restart, and callers have few retries.
-	patience(query: PlacementQuery): Millis {
-		const isExpected = this.reasonForNone(query) === RefusalReason.NoBackend;
+	maxWaitForExecutor(query: PlacementQuery): Millis {
+		const isExpected = this.noExecutorReason(query) === RefusalReason.NoBackend;
 		return isExpected ? Math.min(mostPatience, query.timeLeft * patienceShare) : 0;
 	}
 
-	roomIn(query: PlacementQuery): Millis | undefined {
+	retryAfterHint(query: PlacementQuery): Millis | undefined {
 		let least: Millis | undefined;
-		for (const member of this.executors.draw(query.service, query.excluded)) {
+		for (const member of this.executors.sample(query.service, query.excluded)) {
 			const {time} = this.judge(query, member);
 			least = Math.min(least ?? time, time);
 		}
@@ -142,15 +142,15 @@
 		return Math.min(mostRoomDelay, Math.max(leastRoomDelay, least ?? absenceDelay));
 	}
 
-	noteSent(_query: PlacementQuery, executor: Member): void {
-		this.views.noteSent(executor.id, this.parts.clock.now());
+	recordSent(_query: PlacementQuery, executor: Member): void {
+		this.views.recordSent(executor.id, this.parts.clock.now());
 	}
 
-	noteEnded(query: PlacementQuery, executor: Member, news: AttemptNews): void {
-		this.views.noteEnded(executor.id, news.sentAt);
+	recordEnded(query: PlacementQuery, executor: Member, news: AttemptOutcome): void {
+		this.views.recordEnded(executor.id, news.sentAt);
 		if (news.load) {
 			this.learn(query, executor, news, news.load);
-			this.noteLoad(executor.id, news.load);
+			this.recordLoad(executor.id, news.load);
 		}
 	}
 
@@ -159,13 +159,13 @@
 	 * @param id - the executor.
 	 * @param load - what it told.
 	 */
-	noteLoad(id: string, load: LoadReport): void {
+	recordLoad(id: string, load: LoadReport): void {
 		if (load.slots === 0) {
 			return;
 		}
 
-		this.views.noteLoad(id, load, this.parts.clock.now());
-		this.executors.noteFresh(id);
+		this.views.recordLoad(id, load, this.parts.clock.now());
+		this.executors.recordReport(id);
 		this.usualSlowdown += (load.slowdown - this.usualSlowdown) * 0.01;
 	}
 
@@ -180,7 +180,7 @@
 	private learn(
 		query: PlacementQuery,
 		executor: Member,
-		news: AttemptNews,
+		news: AttemptOutcome,
 		load: LoadReport,
 	): void {
 		const before = this.views.of(executor.id).load?.slowdown ?? 1;
@@ -194,7 +194,7 @@
 
 	private best(query: PlacementQuery): Judged | undefined {
 		let best: Judged | undefined;
-		for (const member of this.executors.draw(query.service, query.excluded)) {
+		for (const member of this.executors.sample(query.service, query.excluded)) {
 			const judged = this.judge(query, member);
 			if (!best || judged.loss < best.loss) {
 				best = judged;
--- a/src/routing/placement.ts
+++ b/src/routing/placement.ts
@@ -22,7 +22,7 @@
 }
 
 /** How an attempt ended, as far as it teaches something for later calls. */
-export interface AttemptNews {
+export interface AttemptOutcome {
 	readonly sentAt: Millis;
 	/** What the executor told of its load, if it did. */
 	readonly load: LoadReport | undefined;
@@ -43,7 +43,7 @@
 	 * @param query - the call.
 	 * @returns why there was nobody to choose.
 	 */
-	reasonForNone(query: PlacementQuery): RefusalReason;
+	noExecutorReason(query: PlacementQuery): RefusalReason;
 	/**
 	 * @param query - the call.
 	 * @param executor - where its first attempt goes.
@@ -57,21 +57,21 @@
 	 * @returns where a second attempt is expected to answer in time while the first is not; undefined
 	 * where none is worth its cost.
 	 */
-	secondExecutor(query: PlacementQuery, executor: Member, elapsed: Millis): Member | undefined;
+	hedgeExecutor(query: PlacementQuery, executor: Member, elapsed: Millis): Member | undefined;
 	/**
 	 * @param query - a call that cannot be served now.
 	 * @returns when there will be room, in ms from now; undefined when nothing is known of that.
 	 */
-	roomIn(query: PlacementQuery): Millis | undefined;
+	retryAfterHint(query: PlacementQuery): Millis | undefined;
 	/**
 	 * @param query - a call for which there is no executor.
 	 * @returns how long it should wait for one to come, in ms.
 	 */
-	patience(query: PlacementQuery): Millis;
+	maxWaitForExecutor(query: PlacementQuery): Millis;
 	/** An attempt goes to an executor. */
-	noteSent(query: PlacementQuery, executor: Member): void;
+	recordSent(query: PlacementQuery, executor: Member): void;
 	/** An attempt has ended. */
-	noteEnded(query: PlacementQuery, executor: Member, news: AttemptNews): void;
+	recordEnded(query: PlacementQuery, executor: Member, news: AttemptOutcome): void;
 	/**
 	 * Gives an executor no work for a while where another can take it.
 	 * @param id - the executor.
--- a/src/routing/routing-policy.ts
+++ b/src/routing/routing-policy.ts
@@ -18,12 +18,12 @@
 	 */
 	choose(query: RoutingQuery): Member;
 	/** An attempt was sent to an executor. */
-	noteSent(id: string): void;
+	recordSent(id: string): void;
 	/**
 	 * An attempt has ended.
 	 * @param id - its executor.
 	 * @param sentAt - when it was sent, in ms.
 	 * @param load - what the executor told of its load, if it did.
 	 */
-	noteEnded(id: string, sentAt: Millis, load: LoadReport | undefined): void;
+	recordEnded(id: string, sentAt: Millis, load: LoadReport | undefined): void;
 }
--- a/src/wiring/routed-node.ts
+++ b/src/wiring/routed-node.ts
@@ -252,7 +252,7 @@
 			hearHeld: () => undefined,
 			hearRumor: () => undefined,
 			peerLoad: (id, load) => {
-				this.placement?.noteLoad(id, load);
+				this.placement?.recordLoad(id, load);
 				this.core.runner.reconsider(id);
 			},
 			takeHandover: () => undefined,
@@ -262,7 +262,7 @@
 
 	private noteOwnLoad(): void {
 		const {id, executor, runner} = this.core;
-		this.placement?.noteLoad(id, executor.report());
+		this.placement?.recordLoad(id, executor.report());
 		runner.reconsider(id);
 	}
 
