--- a/bench/membership.ts
+++ b/bench/membership.ts
@@ -4,7 +4,7 @@
  */
 import process from 'node:process';
 import {
-	createSelf,
+	createLocalMember,
 	decodeGossip,
 	defaultGossipSettings,
 	encodeGossip,
@@ -39,7 +39,7 @@
 		const place = {region: `region-${zone % regions}`, zone: `zone-${zone}`};
 		const address = `10.${Math.floor(i / 65_536)}.${Math.floor(i / 256) % 256}.${i % 256}`;
 		return {
-			...createSelf(`${address}:7001`, 1_839_474_537_910_882 + i, place),
+			...createLocalMember(`${address}:7001`, 1_839_474_537_910_882 + i, place),
 			phase: MemberPhase.Serving,
 			service: `service-${Math.floor(i / 7)}`,
 			slots: 10,
@@ -75,11 +75,11 @@
 					this.answer(to, message);
 				},
 				mayProbe: () => true,
-				revisionNews: () => news,
-				hearRevisionNews: () => undefined,
-				hearRumor: () => undefined,
-				hearHeld: () => undefined,
-				hearPause: () => undefined,
+				knownRevisions: () => news,
+				handleKnownRevisions: () => undefined,
+				handleRumor: () => undefined,
+				handleHeldRevision: () => undefined,
+				handlePause: () => undefined,
 			},
 		});
 		for (const member of members.slice(1)) {
@@ -88,7 +88,7 @@
 	}
 
 	get pending(): number {
-		return this.gossip.pendingNews;
+		return this.gossip.pendingUpdates;
 	}
 
 	countSuspects(): number {
@@ -109,7 +109,7 @@
 
 	step(peers: readonly Member[]): void {
 		this.gossip.tick();
-		this.gossip.check();
+		this.gossip.checkProbes();
 		this.receive(this.ping(peers[this.random.below(peers.length)]!, []));
 		for (const message of this.inbox.splice(0)) {
 			this.receive(message);
@@ -136,7 +136,7 @@
 			type: GossipType.Ping,
 			sender: {id, incarnation, version},
 			sequence: 7,
-			piggyback: {brief, full: [], rumors: [], news},
+			piggyback: {brief, full: [], rumors: [], revisions: news},
 		};
 	}
 
--- a/bench/routing.ts
+++ b/bench/routing.ts
@@ -5,7 +5,7 @@
 import process from 'node:process';
 import {Admission, type AdmissionRequest} from '../src/backend/index.js';
 import {Deadline, RefusalReason, type LoadReport} from '../src/call/index.js';
-import {createSelf, MemberPhase, type Member} from '../src/membership/index.js';
+import {createLocalMember, MemberPhase, type Member} from '../src/membership/index.js';
 import {createRandom, type Random} from '../src/random/index.js';
 import {percentilesOf} from '../src/replay/index.js';
 import {
@@ -144,7 +144,7 @@
 	) {
 		const clock = new EventClock();
 		const members = Array.from({length: executors}, (_, i) => ({
-			...createSelf(`10.0.0.${i + 1}:7001`, 1, {region: 'r', zone: 'z'}),
+			...createLocalMember(`10.0.0.${i + 1}:7001`, 1, {region: 'r', zone: 'z'}),
 			phase: MemberPhase.Serving,
 			service: 's',
 			slots,
--- a/src/claims/key-homes.ts
+++ b/src/claims/key-homes.ts
@@ -1,6 +1,6 @@
 import {Deadline, RefusalReason} from '../call/index.js';
 import {handoverPrefix} from '../control/index.js';
-import type {RevisionKeeper} from '../declaration/index.js';
+import type {RevisionTracker} from '../declaration/index.js';
 import {
 	AttemptEnd,
 	Cancellation,
@@ -20,7 +20,7 @@
 	readonly self: KeyHome;
 	readonly gossip: Gossip;
 	readonly hub: LinkHub;
-	readonly keeper: RevisionKeeper;
+	readonly keeper: RevisionTracker;
 	/** Undefined for a node without a store. */
 	readonly store: TableService | undefined;
 }
@@ -165,7 +165,7 @@
 
 	private heirCandidates(): string[] {
 		const {gossip, self} = this.parts;
-		const {zone, region} = gossip.account;
+		const {zone, region} = gossip.localMember;
 		const zoneMates: string[] = [];
 		const others: string[] = [];
 		for (const member of gossip.directory.all()) {
@@ -186,7 +186,7 @@
 		const {gossip, self, store} = this.parts;
 		const {instance} = self;
 		const fields = [instance, heir.id, heir.instance];
-		gossip.spread({id: `heir ${instance}`, kind: RumorKind.Handover, fields});
+		gossip.spreadRumor({id: `heir ${instance}`, kind: RumorKind.Handover, fields});
 		gossip.flush();
 		const key = `${handoverPrefix}${instance}`;
 		const value = JSON.stringify(heir);
--- a/src/control/__tests__/unit/configuration-feed.test.ts
+++ b/src/control/__tests__/unit/configuration-feed.test.ts
@@ -1,6 +1,6 @@
 import {describe, expect, it} from 'vitest';
 import {ManualClock} from '../../../clock/index.js';
-import {RevisionKeeper, type Declaration} from '../../../declaration/index.js';
+import {RevisionTracker, type Declaration} from '../../../declaration/index.js';
 import type {LinkHub} from '../../../link/index.js';
 import {createTestGossip} from '../../../membership/__tests__/test-gossip.js';
 import {createRandom} from '../../../random/index.js';
@@ -41,7 +41,7 @@
 /** Plays pages and errors of a store in turn, and then nothing more. */
 async function play(steps: readonly Step[]) {
 	const clock = new ManualClock(1000);
-	const keeper = new RevisionKeeper();
+	const keeper = new RevisionTracker();
 	const events: string[] = [];
 	const asked: Array<number | undefined> = [];
 	const left = [...steps];
--- a/src/control/__tests__/unit/readers.test.ts
+++ b/src/control/__tests__/unit/readers.test.ts
@@ -1,6 +1,6 @@
 import {describe, expect, it} from 'vitest';
 import {ManualClock} from '../../../clock/index.js';
-import {createSelf, GossipType, Liveness, type Gossip} from '../../../membership/index.js';
+import {createLocalMember, GossipType, Liveness, type Gossip} from '../../../membership/index.js';
 import {createTestGossip} from '../../../membership/__tests__/test-gossip.js';
 import {mustRead, readersOf} from '../../index.js';
 
@@ -10,8 +10,8 @@
 	const clock = new ManualClock(1000);
 	const gossip = createTestGossip(clock);
 	for (let i = 2; i <= sizes; i++) {
-		gossip.directory.merge(createSelf(`10.0.0.${i}:7001`, 1, {region: 'r', zone: 'z'}));
-		gossip.directory.merge(createSelf(`10.0.1.${i}:7001`, 1, {region: 'r', zone: 'y'}));
+		gossip.directory.merge(createLocalMember(`10.0.0.${i}:7001`, 1, {region: 'r', zone: 'z'}));
+		gossip.directory.merge(createLocalMember(`10.0.1.${i}:7001`, 1, {region: 'r', zone: 'y'}));
 	}
 
 	return {clock, gossip};
@@ -22,7 +22,11 @@
 }
 
 function hearFrom(gossip: Gossip, id: string): void {
-	gossip.receive({type: GossipType.Held, sender: {id, incarnation: 1, version: 1}, revision: 0});
+	gossip.receive({
+		type: GossipType.HeldRevision,
+		sender: {id, incarnation: 1, version: 1},
+		revision: 0,
+	});
 }
 
 describe('readersOf', () => {
@@ -34,7 +38,7 @@
 
 	it('replaces a reader as soon as it is suspected', () => {
 		const {gossip} = createZone();
-		const suspect = readersOf(gossip).find((id) => id !== gossip.account.id)!;
+		const suspect = readersOf(gossip).find((id) => id !== gossip.localMember.id)!;
 		setLiveness(gossip, suspect, Liveness.Suspect);
 		expect(readersOf(gossip)).not.toContain(suspect);
 		expect(readersOf(gossip)).toHaveLength(2);
@@ -45,7 +49,7 @@
 	it('leaves the reading to the readers while others are heard', () => {
 		const {clock, gossip} = createZone();
 		hearFrom(gossip, '10.0.0.2:7001');
-		expect(mustRead(gossip, clock)).toBe(readersOf(gossip).includes(gossip.account.id));
+		expect(mustRead(gossip, clock)).toBe(readersOf(gossip).includes(gossip.localMember.id));
 	});
 
 	it('lets a node that hears of nobody read for itself', () => {
@@ -58,6 +62,6 @@
 		clock.advance(1500);
 		expect(mustRead(gossip, clock)).toBe(true);
 		hearFrom(gossip, '10.0.0.3:7001');
-		expect(mustRead(gossip, clock)).toBe(readersOf(gossip).includes(gossip.account.id));
+		expect(mustRead(gossip, clock)).toBe(readersOf(gossip).includes(gossip.localMember.id));
 	});
 });
--- a/src/control/__tests__/unit/roster.test.ts
+++ b/src/control/__tests__/unit/roster.test.ts
@@ -1,6 +1,6 @@
 import {describe, expect, it} from 'vitest';
 import {ManualClock} from '../../../clock/index.js';
-import {createSelf, GossipType, isRoutable} from '../../../membership/index.js';
+import {createLocalMember, GossipType, isRoutable} from '../../../membership/index.js';
 import {createTestGossip} from '../../../membership/__tests__/test-gossip.js';
 import {createRandom} from '../../../random/index.js';
 import {
@@ -103,7 +103,11 @@
 	};
 
 	const meet = (id: string) => {
-		gossip.receive({type: GossipType.Held, sender: {id, incarnation: 1, version: 1}, revision: 0});
+		gossip.receive({
+			type: GossipType.HeldRevision,
+			sender: {id, incarnation: 1, version: 1},
+			revision: 0,
+		});
 	};
 
 	return {clock, gossip, store, roster, joined, addRow, play, meet};
@@ -217,7 +221,7 @@
 
 	it('drops the row of a node that has been gone for long, and no other', async () => {
 		const {roster, store, clock, gossip, addRow} = createWorld();
-		gossip.directory.merge(createSelf('10.0.0.2:7001', 1, place));
+		gossip.directory.merge(createLocalMember('10.0.0.2:7001', 1, place));
 		await addRow('10.0.0.2:7001');
 		await addRow('10.0.0.3:7001');
 		await roster.audit();
--- a/src/control/configuration-feed.ts
+++ b/src/control/configuration-feed.ts
@@ -3,8 +3,8 @@
 	hashContent,
 	serializeDeclaration,
 	type Declaration,
-	type RevisionKeeper,
-	type RevisionNews,
+	type RevisionTracker,
+	type KnownRevisions,
 } from '../declaration/index.js';
 import type {LinkHub} from '../link/index.js';
 import type {Gossip} from '../membership/index.js';
@@ -42,7 +42,7 @@
 	readonly clock: Clock;
 	readonly random: Random;
 	readonly logger: Logger;
-	readonly keeper: RevisionKeeper;
+	readonly keeper: RevisionTracker;
 	readonly gossip: Gossip;
 	readonly hub: LinkHub;
 	readonly store: RowFeed;
@@ -109,10 +109,10 @@
 	 * @param news - its newest revisions.
 	 * @param from - id of the peer.
 	 */
-	hear(news: RevisionNews, from: string): void {
-		if (this.parts.keeper.hear(news)) {
+	hear(news: KnownRevisions, from: string): void {
+		if (this.parts.keeper.merge(news)) {
 			this.lastTeller = from;
-			this.parts.gossip.pushNews(pushFanOut);
+			this.parts.gossip.broadcastUpdates(pushFanOut);
 			void this.fetchMissing();
 		}
 	}
@@ -222,11 +222,11 @@
 		const hash = hashContent(content);
 		const {revision} = written;
 		const news = {accepted: revision, acceptedHash: hash, staged: 0, stagedHash: ''};
-		if (revision <= keeper.heard.accepted && keeper.heldRevision >= keeper.heard.accepted) {
+		if (revision <= keeper.known.accepted && keeper.heldRevision >= keeper.known.accepted) {
 			return;
 		}
 
-		this.hear(news, gossip.account.id);
+		this.hear(news, gossip.localMember.id);
 		if (keeper.missing().includes(hash)) {
 			keeper.addContent(hash, content);
 		}
--- a/src/control/content-fetcher.ts
+++ b/src/control/content-fetcher.ts
@@ -1,4 +1,4 @@
-import type {RevisionKeeper} from '../declaration/index.js';
+import type {RevisionTracker} from '../declaration/index.js';
 import type {LinkHub} from '../link/index.js';
 import {isPresent, type Gossip} from '../membership/index.js';
 import {sample, type Random} from '../random/index.js';
@@ -8,7 +8,7 @@
 export interface ContentFetcherParts {
 	readonly random: Random;
 	readonly logger: Logger;
-	readonly keeper: RevisionKeeper;
+	readonly keeper: RevisionTracker;
 	readonly gossip: Gossip;
 	readonly hub: LinkHub;
 	/**
@@ -62,7 +62,7 @@
 		teller: string | undefined,
 	): Promise<string | undefined> {
 		const {gossip, hub} = this.parts;
-		const self = gossip.account;
+		const self = gossip.localMember;
 		for (const id of this.sources(teller)) {
 			if (id === self.id) {
 				continue;
@@ -81,7 +81,7 @@
 
 	private sources(teller: string | undefined): string[] {
 		const {gossip, random} = this.parts;
-		const self = gossip.account;
+		const self = gossip.localMember;
 		const near: string[] = [];
 		const far: string[] = [];
 		for (const member of gossip.directory.all()) {
--- a/src/control/readers.ts
+++ b/src/control/readers.ts
@@ -14,7 +14,7 @@
  * @returns ids of the readers of the node's own zone.
  */
 export function readersOf(gossip: Gossip): string[] {
-	const {directory, account} = gossip;
+	const {directory, localMember: account} = gossip;
 	const ids: string[] = [];
 	for (const member of directory.all()) {
 		const isThere = isPresent(member) && member.liveness === Liveness.Alive;
@@ -32,6 +32,6 @@
  * @returns whether the node itself must follow the store: as a reader, or as it hears of nobody.
  */
 export function mustRead(gossip: Gossip, clock: Pick<Clock, 'now'>): boolean {
-	const isIsolated = clock.now() - gossip.lastHeard > isolationTime;
-	return isIsolated || readersOf(gossip).includes(gossip.account.id);
+	const isIsolated = clock.now() - gossip.lastReceivedAt > isolationTime;
+	return isIsolated || readersOf(gossip).includes(gossip.localMember.id);
 }
--- a/src/control/revision-agent.ts
+++ b/src/control/revision-agent.ts
@@ -1,7 +1,7 @@
 import {second, type Clock, type Millis} from '../clock/index.js';
-import type {RevisionKeeper, RevisionNews} from '../declaration/index.js';
+import type {RevisionTracker, KnownRevisions} from '../declaration/index.js';
 import type {LinkHub} from '../link/index.js';
-import {isPresent, type Gossip, type Held, type Member} from '../membership/index.js';
+import {isPresent, type Gossip, type HeldRevision, type Member} from '../membership/index.js';
 import type {Random} from '../random/index.js';
 import {StoreUnavailableError} from '../store/index.js';
 import {logEvents, type Logger} from '../telemetry/index.js';
@@ -17,7 +17,7 @@
 	readonly clock: Clock;
 	readonly random: Random;
 	readonly logger: Logger;
-	readonly keeper: RevisionKeeper;
+	readonly keeper: RevisionTracker;
 	readonly gossip: Gossip;
 	readonly hub: LinkHub;
 	/** Undefined for a node without a store. */
@@ -84,15 +84,15 @@
 	 * @param news - its newest revisions.
 	 * @param from - id of the peer.
 	 */
-	hear(news: RevisionNews, from: string): void {
+	hear(news: KnownRevisions, from: string): void {
 		if (news.accepted > 0) {
 			this.tellers.add(from);
 		}
 
-		if (this.parts.keeper.hear(news)) {
+		if (this.parts.keeper.merge(news)) {
 			this.lastTeller = from;
 			this.nextReport = 0;
-			this.parts.gossip.pushNews(pushFanOut);
+			this.parts.gossip.broadcastUpdates(pushFanOut);
 			void this.fetchMissing();
 		}
 	}
@@ -100,7 +100,7 @@
 	/**
 	 * @param held - which revision a member of the zone holds.
 	 */
-	hearHeld(held: Held): void {
+	hearHeld(held: HeldRevision): void {
 		this.holdings.note(held);
 	}
 
@@ -115,7 +115,7 @@
 
 	/** Whether this node reads the store for its zone. */
 	get isReader(): boolean {
-		return readersOf(this.parts.gossip).includes(this.parts.gossip.account.id);
+		return readersOf(this.parts.gossip).includes(this.parts.gossip.localMember.id);
 	}
 
 	private async poll(): Promise<void> {
@@ -137,7 +137,7 @@
 		try {
 			const row = await store.readHead();
 			this.hasReadStore = true;
-			this.hear(newsOf(row), this.parts.gossip.account.id);
+			this.hear(newsOf(row), this.parts.gossip.localMember.id);
 			if (!this.isReader) {
 				return false;
 			}
@@ -156,7 +156,7 @@
 	private async registerZone(store: DeclarationStore): Promise<void> {
 		const now = this.parts.clock.now();
 		if (now >= this.nextZone) {
-			const {region, zone} = this.parts.gossip.account;
+			const {region, zone} = this.parts.gossip.localMember;
 			await store.registerZone(zoneName(region, zone), readersOf(this.parts.gossip));
 			this.nextZone = now + zonePeriod;
 		}
@@ -170,7 +170,7 @@
 
 		await this.fetchMissing();
 		const {gossip, keeper} = this.parts;
-		const self = gossip.account;
+		const self = gossip.localMember;
 		const missing = this.holdings.missing(gossip.directory, self, staged.revision);
 		const isHeld = keeper.heldRevision >= staged.revision;
 		const others = missing.filter((member) => member.id !== self.id);
@@ -199,14 +199,14 @@
 		const result = await store.acceptStaged(row, async () => pause(this.parts.clock, pollPeriod));
 		if (result === HeadWrite.Written) {
 			const head = await store.readHead();
-			this.hear(newsOf(head), this.parts.gossip.account.id);
+			this.hear(newsOf(head), this.parts.gossip.localMember.id);
 		}
 	}
 
 	private reportHeld(): void {
 		const {gossip, keeper, clock} = this.parts;
 		const held = keeper.heldRevision;
-		const {staged, accepted} = keeper.heard;
+		const {staged, accepted} = keeper.known;
 		const now = clock.now();
 		const isWaitedFor = staged > accepted && held >= staged;
 		if (!isWaitedFor || now < this.nextReport) {
@@ -215,8 +215,8 @@
 
 		this.nextReport = now + reportPeriod;
 		for (const reader of readersOf(this.parts.gossip)) {
-			if (reader !== gossip.account.id) {
-				gossip.reportHeld(reader, held);
+			if (reader !== gossip.localMember.id) {
+				gossip.sendHeldRevision(reader, held);
 			}
 		}
 	}
@@ -243,7 +243,7 @@
 	}
 }
 
-function newsOf(row: HeadRow): RevisionNews {
+function newsOf(row: HeadRow): KnownRevisions {
 	const {accepted, staged} = row.head;
 	return {
 		accepted: accepted?.revision ?? 0,
--- a/src/control/roster.ts
+++ b/src/control/roster.ts
@@ -112,7 +112,7 @@
 	}
 
 	private isJoined(): boolean {
-		return this.parts.gossip.lastHeard > this.startedAt;
+		return this.parts.gossip.lastReceivedAt > this.startedAt;
 	}
 
 	private async persist<T>(attempt: () => Promise<T>): Promise<T | undefined> {
@@ -134,7 +134,7 @@
 		const rows = await this.read();
 		logger.log(logEvents.rosterRead, {members: rows.size});
 		this.presume(rows);
-		if (rows.get(gossip.account.id)?.value !== this.ownValue()) {
+		if (rows.get(gossip.localMember.id)?.value !== this.ownValue()) {
 			void this.persist(async () => this.register(Expect.Any));
 		}
 
@@ -162,7 +162,7 @@
 		for (const id of this.draw(rows, presumed)) {
 			const place = parsePlace(rows.get(id)!.value);
 			if (place) {
-				gossip.presume(id, place);
+				gossip.addUnconfirmed(id, place);
 			}
 		}
 	}
@@ -174,9 +174,9 @@
 		const {gossip, random} = this.parts;
 		const byDistance = new Map<Distance, string[]>();
 		for (const [id, row] of rows) {
-			if (id !== gossip.account.id) {
+			if (id !== gossip.localMember.id) {
 				const place = parsePlace(row.value);
-				const distance = place ? distanceBetween(gossip.account, place) : Distance.OtherRegion;
+				const distance = place ? distanceBetween(gossip.localMember, place) : Distance.OtherRegion;
 				byDistance.set(distance, [...(byDistance.get(distance) ?? []), id]);
 			}
 		}
@@ -194,19 +194,19 @@
 	}
 
 	private isAuditor(): boolean {
-		const {directory, account} = this.parts.gossip;
+		const {directory, localMember: account} = this.parts.gossip;
 		const ids = [...directory.all()].filter((member) => isPresent(member)).map(({id}) => id);
 		return rendezvous('roster', ids, auditors).includes(account.id);
 	}
 
 	private async register(expect: Expect.Any | Expect.Absent): Promise<void> {
-		const {id} = this.parts.gossip.account;
+		const {id} = this.parts.gossip.localMember;
 		const value = this.ownValue();
 		await this.parts.store.write([{key: `${memberPrefix}${id}`, value, expect}]);
 	}
 
 	private ownValue(): string {
-		const {region, zone} = this.parts.gossip.account;
+		const {region, zone} = this.parts.gossip.localMember;
 		return JSON.stringify({region, zone, service: this.parts.service});
 	}
 
--- a/src/control/zone-holdings.ts
+++ b/src/control/zone-holdings.ts
@@ -1,4 +1,4 @@
-import {isPresent, type Directory, type Held, type Member} from '../membership/index.js';
+import {isPresent, type Directory, type HeldRevision, type Member} from '../membership/index.js';
 
 type Holding = {incarnation: number; revision: number};
 
@@ -9,7 +9,7 @@
 	/**
 	 * @param held - what a member says.
 	 */
-	note(held: Held): void {
+	note(held: HeldRevision): void {
 		const {id, incarnation} = held.sender;
 		this.holdings.set(id, {incarnation, revision: held.revision});
 	}
--- a/src/datagram/gossip-socket.ts
+++ b/src/datagram/gossip-socket.ts
@@ -14,13 +14,13 @@
 /** What a socket needs from its owner. */
 export interface GossipSocketOwner {
 	readonly secret: string;
-	received(message: GossipMessage): void;
-	rejected(reason: DatagramReject): void;
+	onMessage(message: GossipMessage): void;
+	onReject(reason: DatagramReject): void;
 	/**
 	 * @param to - id of the receiver.
 	 * @param bytes - bytes on the wire, headers of IP and UDP included.
 	 */
-	sent(to: string, bytes: number): void;
+	onSent(to: string, bytes: number): void;
 }
 
 const sealBytes = 8;
@@ -74,7 +74,7 @@
 		const seal = this.seal(body);
 		const length = seal.length + body.length;
 		this.socket.send([seal, body], endpoint.port, endpoint.address, () => undefined);
-		this.owner.sent(to, length + packetOverhead);
+		this.owner.onSent(to, length + packetOverhead);
 	}
 
 	/** Closes the socket. */
@@ -84,13 +84,13 @@
 
 	private receive(datagram: Uint8Array): void {
 		if (datagram.length <= sealBytes) {
-			this.owner.rejected(DatagramReject.TooShort);
+			this.owner.onReject(DatagramReject.TooShort);
 			return;
 		}
 
 		const body = datagram.subarray(sealBytes);
 		if (!timingSafeEqual(this.seal(body), datagram.subarray(0, sealBytes))) {
-			this.owner.rejected(DatagramReject.BadSeal);
+			this.owner.onReject(DatagramReject.BadSeal);
 			return;
 		}
 
@@ -98,11 +98,11 @@
 		try {
 			message = decodeGossip(body);
 		} catch {
-			this.owner.rejected(DatagramReject.BadMessage);
+			this.owner.onReject(DatagramReject.BadMessage);
 			return;
 		}
 
-		this.owner.received(message);
+		this.owner.onMessage(message);
 	}
 
 	private seal(body: Uint8Array): Uint8Array {
--- a/src/declaration/__tests__/unit/revision-keeper.test.ts
+++ b/src/declaration/__tests__/unit/revision-keeper.test.ts
@@ -1,6 +1,6 @@
 import fc from 'fast-check';
 import {describe, expect, it} from 'vitest';
-import {hashContent, RevisionKeeper, serializeDeclaration} from '../../index.js';
+import {hashContent, RevisionTracker, serializeDeclaration} from '../../index.js';
 
 const contents = Array.from({length: 8}, (_, i) =>
 	serializeDeclaration({deployment: `d${i}`, services: [], calls: [], links: []}),
@@ -9,17 +9,17 @@
 
 describe('RevisionKeeper', () => {
 	it('switches only to a revision that is accepted and held', () => {
-		const keeper = new RevisionKeeper();
-		keeper.hear({accepted: 0, acceptedHash: '', staged: 1, stagedHash: hashes[1]!});
+		const keeper = new RevisionTracker();
+		keeper.merge({accepted: 0, acceptedHash: '', staged: 1, stagedHash: hashes[1]!});
 		keeper.addContent(hashes[1]!, contents[1]!);
 		expect(keeper.inForce).toBeUndefined();
 		expect(keeper.heldRevision).toBe(1);
-		keeper.hear({accepted: 1, acceptedHash: hashes[1]!, staged: 0, stagedHash: ''});
+		keeper.merge({accepted: 1, acceptedHash: hashes[1]!, staged: 0, stagedHash: ''});
 		expect(keeper.inForce?.revision).toBe(1);
 	});
 
 	it('refuses a content that is not what its hash names', () => {
-		const keeper = new RevisionKeeper();
+		const keeper = new RevisionTracker();
 		expect(() => {
 			keeper.addContent(hashes[1]!, contents[2]!);
 		}).toThrow('does not match its hash');
@@ -32,19 +32,19 @@
 		);
 		fc.assert(
 			fc.property(fc.array(step, {maxLength: 40}), (steps) => {
-				const keeper = new RevisionKeeper();
+				const keeper = new RevisionTracker();
 				let highest = 0;
 				for (const {kind, accepted, staged} of steps) {
 					if (kind === 'news') {
 						const acceptedHash = hashes[accepted]!;
-						keeper.hear({accepted, acceptedHash, staged, stagedHash: hashes[staged]!});
+						keeper.merge({accepted, acceptedHash, staged, stagedHash: hashes[staged]!});
 					} else {
 						keeper.addContent(hashes[accepted]!, contents[accepted]!);
 					}
 
 					const revision = keeper.inForce?.revision ?? 0;
 					expect(revision).toBeGreaterThanOrEqual(highest);
-					expect(revision).toBeLessThanOrEqual(keeper.heard.accepted);
+					expect(revision).toBeLessThanOrEqual(keeper.known.accepted);
 					if (revision > 0) {
 						expect(keeper.inForce?.declaration.deployment).toBe(`d${revision}`);
 					}
--- a/src/declaration/index.ts
+++ b/src/declaration/index.ts
@@ -22,9 +22,9 @@
 export {
 	DeclarationContentError,
 	hashContent,
-	RevisionKeeper,
+	RevisionTracker as RevisionTracker,
 	serializeDeclaration,
-	type RevisionNews,
+	type KnownRevisions as KnownRevisions,
 } from './revision-keeper.js';
 export type {SourceFile} from './template.js';
 export {ChangeEvent, changeMachine, ChangeState} from './change-lifecycle.js';
--- a/src/declaration/revision-keeper.ts
+++ b/src/declaration/revision-keeper.ts
@@ -4,7 +4,7 @@
 import {DeclarationIndex} from './declaration-index.js';
 
 /** The newest revisions that somebody knows of. */
-export interface RevisionNews {
+export interface KnownRevisions {
 	/** Revision that is accepted; 0 for none. */
 	readonly accepted: number;
 	/** Hash of the accepted revision's content. */
@@ -20,7 +20,7 @@
 	override name = 'DeclarationContentError';
 }
 
-const noNews: RevisionNews = {accepted: 0, acceptedHash: '', staged: 0, stagedHash: ''};
+const noNews: KnownRevisions = {accepted: 0, acceptedHash: '', staged: 0, stagedHash: ''};
 
 /**
  * @param content - content of a revision.
@@ -58,7 +58,7 @@
  * What a node knows of configuration revisions. Revisions only go up: neither an old peer nor a
  * store that was set back can bring a lower one into force.
  */
-export class RevisionKeeper {
+export class RevisionTracker {
 	private news = noNews;
 	private readonly contents = new Map<string, Declaration>();
 	private readonly texts = new Map<string, string>();
@@ -71,7 +71,7 @@
 	}
 
 	/** The newest revisions that this node has heard of. */
-	get heard(): RevisionNews {
+	get known(): KnownRevisions {
 		return this.news;
 	}
 
@@ -87,7 +87,7 @@
 	 * @param news - its newest revisions.
 	 * @returns whether something of it was new.
 	 */
-	hear(news: RevisionNews): boolean {
+	merge(news: KnownRevisions): boolean {
 		const isAcceptedNew = news.accepted > this.news.accepted;
 		const isStagedNew = news.staged > this.news.staged;
 		if (!isAcceptedNew && !isStagedNew) {
--- a/src/ingress/__tests__/unit/call-runner.test.ts
+++ b/src/ingress/__tests__/unit/call-runner.test.ts
@@ -12,7 +12,7 @@
 	type AttemptResult,
 	type Call,
 } from '../../../exchange/index.js';
-import {createSelf, MemberPhase} from '../../../membership/index.js';
+import {createLocalMember, MemberPhase} from '../../../membership/index.js';
 import {createTestGossip} from '../../../membership/__tests__/test-gossip.js';
 import {createRandom} from '../../../random/index.js';
 import {ExpectedWaitPolicy, type Placement} from '../../../routing/index.js';
@@ -65,7 +65,7 @@
 	const place = {region: 'r', zone: 'z'};
 	const gossip = createTestGossip(clock);
 	for (let i = 0; i < executors; i++) {
-		const member = createSelf(`10.0.1.${i + 1}:7001`, 1, place);
+		const member = createLocalMember(`10.0.1.${i + 1}:7001`, 1, place);
 		gossip.directory.merge({...member, phase: MemberPhase.Serving, service: 's', slots: 10});
 	}
 
@@ -76,7 +76,7 @@
 		placement: new NearestFirstPlacement({
 			clock,
 			gossip,
-			routing: new ExpectedWaitPolicy({clock, random, self: () => gossip.account}),
+			routing: new ExpectedWaitPolicy({clock, random, self: () => gossip.localMember}),
 			keeper: {inForce: index},
 		}),
 		budgetBursts: () => ({retries: 10, hedges: 10}),
@@ -221,7 +221,7 @@
 	it('looks again at a call that takes long, as a late answer is better than none', async () => {
 		const clock = new ManualClock(1000);
 		const executors = ['10.0.1.1:7001', '10.0.1.2:7001'].map((id) =>
-			createSelf(id, 1, {region: 'r', zone: 'z'}),
+			createLocalMember(id, 1, {region: 'r', zone: 'z'}),
 		);
 		const placement: Placement = {
 			choose: ({excluded}) => executors.find(({id}) => !excluded.has(id)),
--- a/src/ingress/nearest-first-placement.ts
+++ b/src/ingress/nearest-first-placement.ts
@@ -1,7 +1,7 @@
 import {RegionBuckets, type TokenBucket} from '../budget/index.js';
 import {RefusalReason} from '../call/index.js';
 import type {Clock, Millis} from '../clock/index.js';
-import type {RevisionKeeper} from '../declaration/index.js';
+import type {RevisionTracker} from '../declaration/index.js';
 import {Distance, distanceBetween, type Gossip, type Member} from '../membership/index.js';
 import {
 	findCandidates,
@@ -18,7 +18,7 @@
 	readonly clock: Clock;
 	readonly gossip: Gossip;
 	readonly routing: ExpectedWaitPolicy;
-	readonly keeper: Pick<RevisionKeeper, 'inForce'>;
+	readonly keeper: Pick<RevisionTracker, 'inForce'>;
 }
 
 /** Bytes of head and framing of a call and its answer. */
@@ -40,7 +40,7 @@
 	choose(query: PlacementQuery): Member | undefined {
 		const {gossip, routing} = this.parts;
 		const {service, excluded, timeLeft} = query;
-		const candidates = findCandidates(gossip.directory, gossip.account, service, excluded);
+		const candidates = findCandidates(gossip.directory, gossip.localMember, service, excluded);
 		const isNearEnough =
 			candidates.near.length > 0 &&
 			!isOtherRegionNeeded(routing.bestExpectedTime(candidates.near), timeLeft);
@@ -54,7 +54,7 @@
 
 	noExecutorReason(query: PlacementQuery): RefusalReason {
 		const {gossip} = this.parts;
-		const {far} = findCandidates(gossip.directory, gossip.account, query.service, nobody);
+		const {far} = findCandidates(gossip.directory, gossip.localMember, query.service, nobody);
 		const isHeldByBudget = this.isOtherRegionAllowed(query) && far.length > 0;
 		return isHeldByBudget ? RefusalReason.LinkBudget : RefusalReason.NoBackend;
 	}
@@ -77,7 +77,7 @@
 
 	recordSent(query: PlacementQuery, executor: Member): void {
 		this.parts.routing.recordSent(executor.id);
-		if (distanceBetween(this.parts.gossip.account, executor) === Distance.OtherRegion) {
+		if (distanceBetween(this.parts.gossip.localMember, executor) === Distance.OtherRegion) {
 			this.linkBudget(executor)?.charge(callOverheadBytes + query.requestBytes);
 		}
 	}
@@ -110,7 +110,7 @@
 	}
 
 	private linkBudget(member: Member): TokenBucket | undefined {
-		const {account, directory} = this.parts.gossip;
+		const {localMember: account, directory} = this.parts.gossip;
 		const link = this.parts.keeper.inForce?.link(account.region, member.region);
 		const nodes = directory.countInRegion(account.region);
 		return link && this.linkBudgets.bucket(member.region, link.callBytesPerSecond, nodes);
--- a/src/membership/__tests__/test-gossip.ts
+++ b/src/membership/__tests__/test-gossip.ts
@@ -1,6 +1,6 @@
 import type {Clock} from '../../clock/index.js';
 import {createRandom} from '../../random/index.js';
-import {createSelf, defaultGossipSettings, Gossip, type GossipHost} from '../index.js';
+import {createLocalMember, defaultGossipSettings, Gossip, type GossipHost} from '../index.js';
 
 const noNews = {accepted: 0, acceptedHash: '', staged: 0, stagedHash: ''};
 
@@ -13,18 +13,18 @@
 	clock: Pick<Clock, 'now'>,
 	host: Partial<GossipHost> = {},
 ): Gossip {
-	return new Gossip(createSelf('10.0.0.1:7001', 1, {region: 'r', zone: 'z'}), {
+	return new Gossip(createLocalMember('10.0.0.1:7001', 1, {region: 'r', zone: 'z'}), {
 		settings: defaultGossipSettings,
 		clock,
 		random: createRandom(1),
 		host: {
 			send: () => undefined,
 			mayProbe: () => true,
-			revisionNews: () => noNews,
-			hearRevisionNews: () => undefined,
-			hearRumor: () => undefined,
-			hearHeld: () => undefined,
-			hearPause: () => undefined,
+			knownRevisions: () => noNews,
+			handleKnownRevisions: () => undefined,
+			handleRumor: () => undefined,
+			handleHeldRevision: () => undefined,
+			handlePause: () => undefined,
 			...host,
 		},
 	});
--- a/src/membership/__tests__/unit/gossip-codec.test.ts
+++ b/src/membership/__tests__/unit/gossip-codec.test.ts
@@ -1,7 +1,7 @@
 import fc from 'fast-check';
 import {describe, expect, it} from 'vitest';
 import {
-	createSelf,
+	createLocalMember,
 	decodeGossip,
 	encodeGossip,
 	GossipDecodeError,
@@ -12,9 +12,12 @@
 	type GossipMessage,
 } from '../../index.js';
 
-const self = createSelf('10.0.0.1:7001', 1_839_474_537_910_882, {region: 'harju', zone: 'harju-a'});
+const self = createLocalMember('10.0.0.1:7001', 1_839_474_537_910_882, {
+	region: 'harju',
+	zone: 'harju-a',
+});
 const sender = {id: self.id, incarnation: self.incarnation, version: 3};
-const news = {accepted: 4, acceptedHash: 'a', staged: 5, stagedHash: 'b'};
+const revisions = {accepted: 4, acceptedHash: 'a', staged: 5, stagedHash: 'b'};
 const piggyback = {
 	brief: [
 		{hash: 2 ** 47 + 5, version: 9, phase: MemberPhase.Draining, liveness: Liveness.Suspect},
@@ -22,15 +25,20 @@
 	],
 	full: [self],
 	rumors: [{id: 'crash 1', kind: RumorKind.Crash, fields: ['x', 'y']}],
-	news,
+	revisions: revisions,
 };
 const messages: GossipMessage[] = [
 	{type: GossipType.Ping, sender, sequence: 1, piggyback},
 	{type: GossipType.Ack, sender, sequence: 1, subject: self.id, piggyback},
 	{type: GossipType.PingRequest, sender, sequence: 2, target: self.id},
-	{type: GossipType.Digest, sender, self, checksums: new Uint32Array(256).fill(2 ** 32 - 1)},
-	{type: GossipType.Entries, sender, members: [self], news},
-	{type: GossipType.Held, sender, revision: 12},
+	{
+		type: GossipType.Digest,
+		sender,
+		senderMember: self,
+		checksums: new Uint32Array(256).fill(2 ** 32 - 1),
+	},
+	{type: GossipType.Entries, sender, members: [self], revisions: revisions},
+	{type: GossipType.HeldRevision, sender, revision: 12},
 ];
 
 describe('gossip codec', () => {
--- a/src/membership/__tests__/unit/gossip.test.ts
+++ b/src/membership/__tests__/unit/gossip.test.ts
@@ -2,7 +2,7 @@
 import {ManualClock} from '../../../clock/index.js';
 import {createRandom, type Random} from '../../../random/index.js';
 import {
-	createSelf,
+	createLocalMember,
 	decodeGossip,
 	defaultGossipSettings,
 	encodeGossip,
@@ -41,7 +41,7 @@
 	}
 
 	add(id: string, incarnation: number, place: {region: string; zone: string}): Gossip {
-		const node: Gossip = new Gossip(createSelf(id, incarnation, place), {
+		const node: Gossip = new Gossip(createLocalMember(id, incarnation, place), {
 			settings: defaultGossipSettings,
 			clock: this.clock,
 			random: this.random,
@@ -50,15 +50,15 @@
 					this.carry(node, to, encodeGossip(message));
 				},
 				mayProbe: () => true,
-				revisionNews: () => news,
-				hearRevisionNews: () => undefined,
-				hearRumor: () => undefined,
-				hearHeld: () => undefined,
-				hearPause: () => undefined,
+				knownRevisions: () => news,
+				handleKnownRevisions: () => undefined,
+				handleRumor: () => undefined,
+				handleHeldRevision: () => undefined,
+				handlePause: () => undefined,
 			},
 		});
 		this.nodes.set(id, node);
-		node.declare({phase: MemberPhase.Serving, service: 's', slots: 10});
+		node.updateLocalMember({phase: MemberPhase.Serving, service: 's', slots: 10});
 		return node;
 	}
 
@@ -74,7 +74,7 @@
 				if (Math.round(this.clock.now()) % defaultGossipSettings.probePeriod === 0) {
 					node.tick();
 				} else {
-					node.check();
+					node.checkProbes();
 				}
 			}
 		}
@@ -94,11 +94,11 @@
 	private carry(from: Gossip, to: string, bytes: Uint8Array): void {
 		const target = this.nodes.get(to);
 		const isLost = this.random.next() < this.loss;
-		if (!target || isLost || this.stopped.has(from.account.id)) {
+		if (!target || isLost || this.stopped.has(from.localMember.id)) {
 			return;
 		}
 
-		if (this.cut?.(from.account, target.account)) {
+		if (this.cut?.(from.localMember, target.localMember)) {
 			return;
 		}
 
@@ -125,7 +125,7 @@
 			group.stopped.add('10.0.0.5:7001');
 			group.run(1000);
 			const mates = [...group.nodes.values()].filter(
-				(node) => node.account.region === 'harju' && node.account.id !== '10.0.0.5:7001',
+				(node) => node.localMember.region === 'harju' && node.localMember.id !== '10.0.0.5:7001',
 			);
 			for (const node of mates) {
 				expect(isRoutable(node.directory.get('10.0.0.5:7001')!)).toBe(false);
@@ -190,8 +190,8 @@
 		group.run(5000);
 		const gone = '10.0.0.99:7001';
 		const starter = group.add('10.0.0.9:7001', 9, zoneOf(1));
-		starter.presume(gone, {...zoneOf(1), service: 's'});
-		starter.presume('10.0.0.2:7001', {...zoneOf(1), service: 's'});
+		starter.addUnconfirmed(gone, {...zoneOf(1), service: 's'});
+		starter.addUnconfirmed('10.0.0.2:7001', {...zoneOf(1), service: 's'});
 		expect(isRoutable(starter.directory.get('10.0.0.2:7001')!)).toBe(false);
 		group.run(20);
 		expect(isRoutable(starter.directory.get('10.0.0.2:7001')!)).toBe(true);
@@ -205,7 +205,7 @@
 	it('takes any account of a member for truer than what it presumes', () => {
 		const group = new Group(2);
 		const late = group.add('10.0.0.3:7001', 7, zoneOf(2));
-		late.presume('10.0.0.1:7001', {...zoneOf(0), service: 'other'});
+		late.addUnconfirmed('10.0.0.1:7001', {...zoneOf(0), service: 'other'});
 		late.join('10.0.0.1:7001');
 		group.run(1000);
 		expect(late.directory.get('10.0.0.1:7001')).toMatchObject({incarnation: 1, service: 's'});
--- a/src/membership/directory.ts
+++ b/src/membership/directory.ts
@@ -1,6 +1,6 @@
 import type {Undo} from '../clock/index.js';
 import {hash32, hash48} from '../util/index.js';
-import {compareAccounts, isPresent, isPresumed, type Member} from './member.js';
+import {compareMemberRecords, isPresent, isUnconfirmed, type Member} from './member.js';
 
 /** Buckets over which digests are taken. */
 export const bucketCount = 256;
@@ -37,7 +37,7 @@
 	private changes = 0;
 
 	/** Grows with each change of a member. */
-	get revision(): number {
+	get changeCount(): number {
 		return this.changes;
 	}
 
@@ -95,7 +95,7 @@
 	 */
 	merge(account: Member): boolean {
 		const known = this.members.get(account.id);
-		if (known && compareAccounts(account, known) <= 0) {
+		if (known && compareMemberRecords(account, known) <= 0) {
 			return false;
 		}
 
@@ -111,7 +111,7 @@
 	 * Forgets a member that is gone.
 	 * @param id - its address.
 	 */
-	forget(id: string): void {
+	remove(id: string): void {
 		const known = this.members.get(id);
 		if (known) {
 			this.replace(known, undefined);
@@ -151,7 +151,7 @@
 	 * @param region - name of a region.
 	 * @returns whether members of another region were ever known; they may be cut off for now.
 	 */
-	hasOtherRegion(region: string): boolean {
+	hasSeenOtherRegion(region: string): boolean {
 		return this.regionSizes.size > (this.regionSizes.has(region) ? 1 : 0);
 	}
 
@@ -200,7 +200,7 @@
 	// Exclusive or: adding and removing an account are the same step, in any order. What is only
 	// presumed is no news for others.
 	private toggleChecksum(member: Member): void {
-		if (isPresumed(member)) {
+		if (isUnconfirmed(member)) {
 			return;
 		}
 
--- a/src/membership/gossip-codec.ts
+++ b/src/membership/gossip-codec.ts
@@ -1,5 +1,5 @@
 import {Packr} from 'msgpackr';
-import type {RevisionNews} from '../declaration/index.js';
+import type {KnownRevisions} from '../declaration/index.js';
 import {bucketCount} from './directory.js';
 import {
 	GossipType,
@@ -31,7 +31,7 @@
 	GossipType.PingRequest,
 	GossipType.Digest,
 	GossipType.Entries,
-	GossipType.Held,
+	GossipType.HeldRevision,
 ] as const;
 const packr = new Packr({useRecords: false});
 const briefBytes = 9;
@@ -139,11 +139,11 @@
 	};
 }
 
-function packNews(news: RevisionNews): Packed {
+function packNews(news: KnownRevisions): Packed {
 	return [news.accepted, news.acceptedHash, news.staged, news.stagedHash];
 }
 
-function unpackNews(packed: unknown): RevisionNews {
+function unpackNews(packed: unknown): KnownRevisions {
 	const fields = asList(packed);
 	return {
 		accepted: asCount(fields[0]),
@@ -167,7 +167,7 @@
 		packBrief(piggyback.brief),
 		piggyback.full.map((member) => packMember(member)),
 		piggyback.rumors.map((rumor) => [rumor.id, rumor.kind, rumor.fields]),
-		packNews(piggyback.news),
+		packNews(piggyback.revisions),
 	];
 }
 
@@ -177,7 +177,7 @@
 		brief: unpackBrief(fields[0]),
 		full: asList(fields[1]).map((member) => unpackMember(member)),
 		rumors: asList(fields[2]).map((rumor) => unpackRumor(rumor)),
-		news: unpackNews(fields[3]),
+		revisions: unpackNews(fields[3]),
 	};
 }
 
@@ -196,14 +196,14 @@
 		}
 
 		case GossipType.Digest: {
-			return [packMember(message.self), packChecksums(message.checksums)];
+			return [packMember(message.senderMember), packChecksums(message.checksums)];
 		}
 
 		case GossipType.Entries: {
-			return [message.members.map((member) => packMember(member)), packNews(message.news)];
+			return [message.members.map((member) => packMember(member)), packNews(message.revisions)];
 		}
 
-		case GossipType.Held: {
+		case GossipType.HeldRevision: {
 			return [message.revision];
 		}
 	}
@@ -251,15 +251,15 @@
 
 		case GossipType.Digest: {
 			const checksums = unpackChecksums(body[1]);
-			return {type, sender, self: unpackMember(body[0]), checksums};
+			return {type, sender, senderMember: unpackMember(body[0]), checksums};
 		}
 
 		case GossipType.Entries: {
 			const members = asList(body[0]).map((member) => unpackMember(member));
-			return {type, sender, members, news: unpackNews(body[1])};
+			return {type, sender, members, revisions: unpackNews(body[1])};
 		}
 
-		case GossipType.Held: {
+		case GossipType.HeldRevision: {
 			return {type, sender, revision: asCount(body[0])};
 		}
 	}
--- a/src/membership/gossip-message.ts
+++ b/src/membership/gossip-message.ts
@@ -1,4 +1,4 @@
-import type {RevisionNews} from '../declaration/index.js';
+import type {KnownRevisions} from '../declaration/index.js';
 import type {Liveness, Member, MemberPhase} from './member.js';
 
 /** Kinds of gossip message; the values are part of the wire format. */
@@ -14,7 +14,7 @@
 	/** Full accounts of members. */
 	Entries = 4,
 	/** Tells a reader which revision the sender holds. */
-	Held = 5,
+	HeldRevision = 5,
 }
 
 /** A change of a member that the receiver knows already, in few bytes. */
@@ -57,7 +57,7 @@
 	readonly brief: readonly BriefUpdate[];
 	readonly full: readonly Member[];
 	readonly rumors: readonly Rumor[];
-	readonly news: RevisionNews;
+	readonly revisions: KnownRevisions;
 }
 
 export interface Ping {
@@ -87,7 +87,7 @@
 	readonly type: GossipType.Digest;
 	readonly sender: Sender;
 	/** The sender's own account, so that a newcomer is known at once. */
-	readonly self: Member;
+	readonly senderMember: Member;
 	readonly checksums: Uint32Array;
 }
 
@@ -95,13 +95,13 @@
 	readonly type: GossipType.Entries;
 	readonly sender: Sender;
 	readonly members: readonly Member[];
-	readonly news: RevisionNews;
+	readonly revisions: KnownRevisions;
 }
 
-export interface Held {
-	readonly type: GossipType.Held;
+export interface HeldRevision {
+	readonly type: GossipType.HeldRevision;
 	readonly sender: Sender;
 	readonly revision: number;
 }
 
-export type GossipMessage = Ping | Ack | PingRequest | Digest | Entries | Held;
+export type GossipMessage = Ping | Ack | PingRequest | Digest | Entries | HeldRevision;
--- a/src/membership/gossip-settings.ts
+++ b/src/membership/gossip-settings.ts
@@ -7,8 +7,8 @@
 	/** Each so many-th probe goes along with one to a random member, which carries news. */
 	readonly probesPerRandomProbe: number;
 	/** Members a second that are probed at once as a link to them broke, and how many at a time. */
-	readonly doubtRate: number;
-	readonly doubtDepth: number;
+	readonly suspicionProbeRate: number;
+	readonly suspicionProbeBurstSeconds: number;
 	/** How long a direct probe may take. */
 	readonly directTimeout: Millis;
 	/** How long an indirect probe may take. */
@@ -18,15 +18,15 @@
 	/** How long a member is suspected before it counts as dead. */
 	readonly suspicionTime: Millis;
 	/** Time between two digests while members disagree. */
-	readonly shortDigestPeriod: Millis;
+	readonly minDigestPeriod: Millis;
 	/** Time between two digests while members agree. */
-	readonly longDigestPeriod: Millis;
+	readonly maxDigestPeriod: Millis;
 	/** Pushes a second of news that cannot wait for the next probe. */
-	readonly urgentPushRate: number;
+	readonly urgentBroadcastRate: number;
 	/** Bytes a second for accounts that repair what others have missed. */
 	readonly repairBytesPerSecond: number;
 	/** Time between two probes of members that count as dead. */
-	readonly reachOutPeriod: Millis;
+	readonly deadMemberProbePeriod: Millis;
 	/** How long a dead member is remembered, so that old accounts don't bring it back. */
 	readonly tombstoneTime: Millis;
 	/** Share of probes that leave the zone, from 0 to 1. */
@@ -53,17 +53,17 @@
 export const defaultGossipSettings: GossipSettings = {
 	probePeriod: 500,
 	probesPerRandomProbe: 4,
-	doubtRate: 4,
-	doubtDepth: 8,
+	suspicionProbeRate: 4,
+	suspicionProbeBurstSeconds: 8,
 	directTimeout: 80,
 	indirectTimeout: 150,
 	indirectProbes: 3,
 	suspicionTime: 2 * second,
-	shortDigestPeriod: second / 2,
-	longDigestPeriod: 10 * second,
-	urgentPushRate: 1,
+	minDigestPeriod: second / 2,
+	maxDigestPeriod: 10 * second,
+	urgentBroadcastRate: 1,
 	repairBytesPerSecond: 4000,
-	reachOutPeriod: 2 * second,
+	deadMemberProbePeriod: 2 * second,
 	tombstoneTime: 10 * minute,
 	otherZoneShare: 0.18,
 	otherRegionRate: 6,
--- a/src/membership/gossip.ts
+++ b/src/membership/gossip.ts
@@ -1,6 +1,6 @@
 import {TokenBucket} from '../budget/index.js';
 import type {Clock, Millis, Undo} from '../clock/index.js';
-import type {RevisionNews} from '../declaration/index.js';
+import type {KnownRevisions} from '../declaration/index.js';
 import {sample, type Random} from '../random/index.js';
 import {invariant} from '../util/index.js';
 import {Directory, memberHash} from './directory.js';
@@ -11,7 +11,7 @@
 	type Digest,
 	type Entries,
 	type GossipMessage,
-	type Held,
+	type HeldRevision,
 	type Piggyback,
 	type Ping,
 	type PingRequest,
@@ -21,15 +21,15 @@
 import type {GossipSettings} from './gossip-settings.js';
 import {
 	isPresent,
-	isPresumed,
+	isUnconfirmed,
 	Liveness,
 	MemberPhase,
-	presumedIncarnation,
-	presumedVersion,
+	unconfirmedIncarnation,
+	unconfirmedVersion,
 	type Member,
 } from './member.js';
 import {ProbeTargets} from './probe-targets.js';
-import {RumorMemory} from './rumor-memory.js';
+import {SeenRumors} from './rumor-memory.js';
 import {UpdateQueue, type QueuedUpdate} from './update-queue.js';
 
 /** What the gossip needs from its host. */
@@ -46,32 +46,32 @@
 	 */
 	mayProbe(member: Member): boolean;
 	/** @returns the newest revisions that this node has heard of. */
-	revisionNews(): RevisionNews;
+	knownRevisions(): KnownRevisions;
 	/**
 	 * Hears what a peer knows of revisions.
 	 * @param news - the peer's newest revisions.
 	 * @param from - id of the peer.
 	 */
-	hearRevisionNews(news: RevisionNews, from: string): void;
+	handleKnownRevisions(news: KnownRevisions, from: string): void;
 	/**
 	 * Hears a rumor for the first time.
 	 * @param rumor - the news.
 	 */
-	hearRumor(rumor: Rumor): void;
+	handleRumor(rumor: Rumor): void;
 	/**
 	 * Hears which revision a peer holds.
 	 * @param held - the peer's message.
 	 */
-	hearHeld(held: Held): void;
+	handleHeldRevision(held: HeldRevision): void;
 	/**
 	 * Learns that this process was not scheduled for a while.
 	 * @param pause - how long, in ms.
 	 */
-	hearPause(pause: Millis): void;
+	handlePause(pause: Millis): void;
 }
 
 /** What a gossip is made of. */
-export interface GossipParts {
+export interface GossipDependencies {
 	readonly settings: GossipSettings;
 	readonly clock: Pick<Clock, 'now'>;
 	readonly random: Random;
@@ -113,7 +113,7 @@
 	private readonly nearQueue: UpdateQueue;
 	private readonly farQueue: UpdateQueue;
 	private readonly targets: ProbeTargets;
-	private readonly rumors = new RumorMemory();
+	private readonly rumors = new SeenRumors();
 	private readonly probes = new Map<number, Probe>();
 	private readonly relays = new Map<number, Relay>();
 	private readonly suspicions = new Map<string, Millis>();
@@ -137,7 +137,7 @@
 	private readonly random: Random;
 	private readonly host: GossipHost;
 
-	constructor(self: Member, parts: GossipParts) {
+	constructor(self: Member, parts: GossipDependencies) {
 		const {settings, clock, random, host} = parts;
 		this.self = self;
 		this.settings = settings;
@@ -151,10 +151,14 @@
 		this.heardAt = clock.now();
 		this.nextDigest = clock.now();
 		this.nextReachOut = clock.now();
-		this.digestPeriod = settings.shortDigestPeriod;
-		this.urgentBudget = new TokenBucket(clock, settings.urgentPushRate, urgentDepth);
+		this.digestPeriod = settings.minDigestPeriod;
+		this.urgentBudget = new TokenBucket(clock, settings.urgentBroadcastRate, urgentDepth);
 		this.repairBudget = new TokenBucket(clock, settings.repairBytesPerSecond, repairDepth);
-		this.doubtBudget = new TokenBucket(clock, settings.doubtRate, settings.doubtDepth);
+		this.doubtBudget = new TokenBucket(
+			clock,
+			settings.suspicionProbeRate,
+			settings.suspicionProbeBurstSeconds,
+		);
 		this.directory.registerListener((member) => {
 			this.trackLiveness(member);
 		});
@@ -162,17 +166,17 @@
 	}
 
 	/** The node's own account. */
-	get account(): Member {
+	get localMember(): Member {
 		return this.self;
 	}
 
 	/** When something last came from any member. */
-	get lastHeard(): Millis {
+	get lastReceivedAt(): Millis {
 		return this.heardAt;
 	}
 
 	/** Pieces of news that still wait to be sent. */
-	get pendingNews(): number {
+	get pendingUpdates(): number {
 		return this.nearQueue.size;
 	}
 
@@ -180,7 +184,7 @@
 	 * Declares a change of this node.
 	 * @param change - what is new.
 	 */
-	declare(change: Partial<Pick<Member, 'phase' | 'service' | 'slots'>>): void {
+	updateLocalMember(change: Partial<Pick<Member, 'phase' | 'service' | 'slots'>>): void {
 		this.replaceSelf({...this.self, ...change, version: this.self.version + 1});
 	}
 
@@ -188,10 +192,10 @@
 	 * Tells every member a piece of news.
 	 * @param rumor - the news.
 	 */
-	spread(rumor: Rumor): void {
-		if (this.rumors.isNew(rumor.id)) {
+	spreadRumor(rumor: Rumor): void {
+		if (this.rumors.addIfNew(rumor.id)) {
 			this.enqueueRumor(rumor);
-			this.host.hearRumor(rumor);
+			this.host.handleRumor(rumor);
 		}
 	}
 
@@ -209,10 +213,10 @@
 	 * @param id - address of the member.
 	 * @param place - where it stands, and the service of its backend server.
 	 */
-	presume(id: string, place: Pick<Member, 'region' | 'zone' | 'service'>): void {
+	addUnconfirmed(id: string, place: Pick<Member, 'region' | 'zone' | 'service'>): void {
 		if (!this.directory.get(id)) {
-			const account = createSelf(id, presumedIncarnation, place);
-			this.directory.merge({...account, service: place.service});
+			const placeholder = createLocalMember(id, unconfirmedIncarnation, place);
+			this.directory.merge({...placeholder, service: place.service});
 			this.ping(id, false);
 		}
 	}
@@ -221,8 +225,8 @@
 	 * Sends what is new to some members of the region at once, without waiting for the next probe.
 	 * @param count - how many members.
 	 */
-	pushNews(count: number): void {
-		for (const peer of this.targets.helpers(count, this.self)) {
+	broadcastUpdates(count: number): void {
+		for (const peer of this.targets.samplePeers(count, this.self)) {
 			this.ping(peer.id, false);
 		}
 	}
@@ -242,8 +246,8 @@
 	 * @param reader - id of the reader.
 	 * @param revision - the revision.
 	 */
-	reportHeld(reader: string, revision: number): void {
-		this.host.send(reader, {type: GossipType.Held, sender: this.sender(), revision});
+	sendHeldRevision(reader: string, revision: number): void {
+		this.host.send(reader, {type: GossipType.HeldRevision, sender: this.sender(), revision});
 	}
 
 	/**
@@ -254,8 +258,8 @@
 		return this.directory.registerListener(listener);
 	}
 
-	/** Whether {@link check} has something to look after. */
-	get isWaiting(): boolean {
+	/** Whether {@link checkProbes} has something to look after. */
+	get hasPendingChecks(): boolean {
 		return this.urgentPushesLeft > 0 || this.probes.size > 0 || this.relays.size > 0;
 	}
 
@@ -263,7 +267,7 @@
 	 * Probes a member at once, as a link to it broke without a word.
 	 * @param id - address of the member.
 	 */
-	doubt(id: string): void {
+	sendSuspicionProbe(id: string): void {
 		const member = this.directory.get(id);
 		const isTrusted = member?.liveness === Liveness.Alive && isPresent(member);
 		const isProbed = [...this.probes.values()].some(({target}) => target === id);
@@ -289,8 +293,8 @@
 		this.reachOut(now);
 	}
 
-	/** Looks for probes that went unanswered; called often while {@link isWaiting}. */
-	check(): void {
+	/** Looks for probes that went unanswered; called often while {@link hasPendingChecks}. */
+	checkProbes(): void {
 		const now = this.clock.now();
 		if (now - this.lastTick < this.settings.probePeriod + this.settings.pauseThreshold) {
 			this.expireProbes(now);
@@ -331,8 +335,8 @@
 				break;
 			}
 
-			case GossipType.Held: {
-				this.host.hearHeld(message);
+			case GossipType.HeldRevision: {
+				this.host.handleHeldRevision(message);
 				break;
 			}
 		}
@@ -342,14 +346,14 @@
 	private pushUrgent(): void {
 		if (this.urgentPushesLeft > 0 && this.urgentBudget.trySpend(1)) {
 			this.urgentPushesLeft -= 1;
-			this.pushNews(urgentFanOut);
+			this.broadcastUpdates(urgentFanOut);
 		}
 	}
 
-	private replaceSelf(account: Member): void {
-		this.self = account;
-		this.directory.merge(account);
-		this.enqueueFull(account);
+	private replaceSelf(member: Member): void {
+		this.self = member;
+		this.directory.merge(member);
+		this.enqueueFull(member);
 	}
 
 	private sender(): Sender {
@@ -414,7 +418,7 @@
 			}
 		}
 
-		return {brief, full, rumors, news: this.host.revisionNews()};
+		return {brief, full, rumors, revisions: this.host.knownRevisions()};
 	}
 
 	private receivePing(message: Ping): void {
@@ -454,7 +458,7 @@
 	}
 
 	private receiveDigest(message: Digest): void {
-		this.mergeAndSpread(message.self);
+		this.mergeAndSpread(message.senderMember);
 		const differing = new Set<number>();
 		for (const [bucket, checksum] of this.directory.digest().entries()) {
 			if (message.checksums[bucket] !== checksum) {
@@ -470,7 +474,7 @@
 	}
 
 	private receiveEntries(message: Entries): void {
-		this.host.hearRevisionNews(message.news, message.sender.id);
+		this.host.handleKnownRevisions(message.revisions, message.sender.id);
 		let isChanged = false;
 		for (const member of message.members) {
 			isChanged = this.mergeAndSpread(member) || isChanged;
@@ -484,7 +488,7 @@
 	// Digests come quickly while members disagree and seldom while they agree.
 	// Source: RFC 6206, "The trickle algorithm".
 	private noteDisagreement(): void {
-		this.digestPeriod = this.settings.shortDigestPeriod;
+		this.digestPeriod = this.settings.minDigestPeriod;
 		const soon = this.clock.now() + this.digestPeriod * (0.5 + this.random.next());
 		this.nextDigest = Math.min(this.nextDigest, soon);
 	}
@@ -492,7 +496,7 @@
 	private sendBuckets(to: string, buckets: ReadonlySet<number>): void {
 		const members: Member[] = [];
 		for (const member of this.directory.all()) {
-			if (!isPresumed(member) && buckets.has(this.directory.bucketOf(member.id))) {
+			if (!isUnconfirmed(member) && buckets.has(this.directory.bucketOf(member.id))) {
 				members.push(member);
 			}
 		}
@@ -518,12 +522,12 @@
 			type: GossipType.Entries,
 			sender: this.sender(),
 			members,
-			news: this.host.revisionNews(),
+			revisions: this.host.knownRevisions(),
 		});
 	}
 
 	private takePiggyback(piggyback: Piggyback, from: string): void {
-		this.host.hearRevisionNews(piggyback.news, from);
+		this.host.handleKnownRevisions(piggyback.revisions, from);
 		for (const member of piggyback.full) {
 			this.mergeAndSpread(member);
 		}
@@ -533,9 +537,9 @@
 		}
 
 		for (const rumor of piggyback.rumors) {
-			if (this.rumors.isNew(rumor.id)) {
+			if (this.rumors.addIfNew(rumor.id)) {
 				this.enqueueRumor(rumor);
-				this.host.hearRumor(rumor);
+				this.host.handleRumor(rumor);
 			}
 		}
 	}
@@ -548,49 +552,49 @@
 		}
 	}
 
-	private mergeAndSpread(account: Member): boolean {
-		if (account.id === this.self.id) {
-			this.defend(account);
+	private mergeAndSpread(member: Member): boolean {
+		if (member.id === this.self.id) {
+			this.defend(member);
 			return false;
 		}
 
-		const previous = this.directory.get(account.id);
-		if (!this.directory.merge(account)) {
+		const previous = this.directory.get(member.id);
+		if (!this.directory.merge(member)) {
 			return false;
 		}
 
-		const isSameMember = previous?.incarnation === account.incarnation;
+		const isSameMember = previous?.incarnation === member.incarnation;
 		const isSameContent =
-			isSameMember && previous.service === account.service && previous.slots === account.slots;
+			isSameMember && previous.service === member.service && previous.slots === member.slots;
 		const isUrgent =
-			account.liveness === Liveness.Suspect ||
+			member.liveness === Liveness.Suspect ||
 			previous?.liveness === Liveness.Suspect ||
-			account.phase === MemberPhase.Draining;
+			member.phase === MemberPhase.Draining;
 		if (isUrgent) {
 			this.urgentPushesLeft = urgentPushes;
 		}
 
 		if (isSameContent) {
-			this.enqueueBrief(account, isUrgent);
+			this.enqueueBrief(member, isUrgent);
 		} else {
-			this.enqueueFull(account);
+			this.enqueueFull(member);
 		}
 
 		return true;
 	}
 
 	// Somebody says something of this node that is not so: a newer version overrides it.
-	private defend(account: Member): void {
+	private defend(member: Member): void {
 		const {incarnation, version} = this.self;
-		if (account.incarnation > incarnation) {
-			this.replaceSelf({...this.self, incarnation: account.incarnation + 1});
+		if (member.incarnation > incarnation) {
+			this.replaceSelf({...this.self, incarnation: member.incarnation + 1});
 			return;
 		}
 
-		const isSameIncarnation = account.incarnation === incarnation;
-		const isWrong = account.liveness !== Liveness.Alive || account.phase !== this.self.phase;
-		if (isSameIncarnation && account.version >= version && isWrong) {
-			this.replaceSelf({...this.self, version: account.version + 1});
+		const isSameIncarnation = member.incarnation === incarnation;
+		const isWrong = member.liveness !== Liveness.Alive || member.phase !== this.self.phase;
+		if (isSameIncarnation && member.version >= version && isWrong) {
+			this.replaceSelf({...this.self, version: member.version + 1});
 			this.urgentPushesLeft = urgentPushes;
 		}
 	}
@@ -598,11 +602,11 @@
 	// A message from a member is a sign of life; an unknown sender is asked for its account.
 	private noteSender(sender: Sender): void {
 		const known = this.directory.get(sender.id);
-		if (known && isPresumed(known)) {
+		if (known && isUnconfirmed(known)) {
 			this.directory.merge({
 				...known,
 				incarnation: sender.incarnation,
-				version: presumedVersion,
+				version: unconfirmedVersion,
 				phase: MemberPhase.Serving,
 			});
 		}
@@ -619,7 +623,7 @@
 		return {
 			type: GossipType.Digest,
 			sender: this.sender(),
-			self: this.self,
+			senderMember: this.self,
 			checksums: Uint32Array.from(this.directory.digest()),
 		};
 	}
@@ -631,7 +635,7 @@
 
 		// Spread over time, so that nodes started together don't send together.
 		this.nextDigest = now + this.digestPeriod * (0.5 + this.random.next());
-		this.digestPeriod = Math.min(this.settings.longDigestPeriod, this.digestPeriod * 2);
+		this.digestPeriod = Math.min(this.settings.maxDigestPeriod, this.digestPeriod * 2);
 		const target = this.targets.next();
 		if (target && this.host.mayProbe(target)) {
 			this.host.send(target.id, this.digest());
@@ -644,7 +648,7 @@
 			return;
 		}
 
-		this.nextReachOut = now + this.settings.reachOutPeriod;
+		this.nextReachOut = now + this.settings.deadMemberProbePeriod;
 		const dead: string[] = [];
 		for (const id of this.tombstones.keys()) {
 			if (this.directory.get(id)?.liveness === Liveness.Dead) {
@@ -686,7 +690,7 @@
 			return;
 		}
 
-		for (const helper of this.targets.helpers(this.settings.indirectProbes, target)) {
+		for (const helper of this.targets.samplePeers(this.settings.indirectProbes, target)) {
 			this.host.send(helper.id, {
 				type: GossipType.PingRequest,
 				sender: this.sender(),
@@ -733,7 +737,7 @@
 			if (now >= until) {
 				invariant(id !== this.self.id, 'a node never buries itself');
 				this.tombstones.delete(id);
-				this.directory.forget(id);
+				this.directory.remove(id);
 			}
 		}
 	}
@@ -748,7 +752,7 @@
 
 		this.nextDigest = now;
 		this.replaceSelf({...this.self, version: this.self.version + 1});
-		this.host.hearPause(pause);
+		this.host.handlePause(pause);
 	}
 
 	private enqueueBrief(member: Member, isUrgent: boolean): void {
@@ -767,7 +771,7 @@
 	// Few probes leave the region: news for them waits apart, or it would be used up before one goes.
 	private enqueue(update: QueuedUpdate): void {
 		this.nearQueue.push(update);
-		if (this.directory.hasOtherRegion(this.self.region)) {
+		if (this.directory.hasSeenOtherRegion(this.self.region)) {
 			this.farQueue.push(update);
 		}
 	}
@@ -784,7 +788,7 @@
  * @param place - where the node stands.
  * @returns the account of a node that has just started.
  */
-export function createSelf(
+export function createLocalMember(
 	id: string,
 	incarnation: number,
 	place: Pick<Member, 'region' | 'zone'>,
--- a/src/membership/index.ts
+++ b/src/membership/index.ts
@@ -1,16 +1,16 @@
 export {Directory, memberHash, type MemberListener} from './directory.js';
-export {createSelf, Gossip, type GossipHost} from './gossip.js';
+export {createLocalMember as createLocalMember, Gossip, type GossipHost} from './gossip.js';
 export {decodeGossip, encodeGossip, GossipDecodeError} from './gossip-codec.js';
 export {
 	GossipType,
 	RumorKind,
 	type GossipMessage,
-	type Held,
+	type HeldRevision as HeldRevision,
 	type Rumor,
 } from './gossip-message.js';
 export {defaultGossipSettings, type GossipSettings} from './gossip-settings.js';
 export {
-	compareAccounts,
+	compareMemberRecords as compareMemberRecords,
 	isPresent,
 	isRoutable,
 	Liveness,
--- a/src/membership/member.ts
+++ b/src/membership/member.ts
@@ -40,7 +40,7 @@
  * @param b - another account of the same member.
  * @returns above 0 when `a` overrides `b`, below 0 when `b` overrides `a`, 0 when they agree.
  */
-export function compareAccounts(
+export function compareMemberRecords(
 	a: Pick<Member, 'incarnation' | 'version' | 'phase' | 'liveness'>,
 	b: Pick<Member, 'incarnation' | 'version' | 'phase' | 'liveness'>,
 ): number {
@@ -53,17 +53,17 @@
 }
 
 /** Incarnation of a member that is only known from the platform's store: every account overrides it. */
-export const presumedIncarnation = 0;
+export const unconfirmedIncarnation = 0;
 
 /** Version of what is presumed of a member that lives: its own account overrides it. */
-export const presumedVersion = 0;
+export const unconfirmedVersion = 0;
 
 /**
  * @param member - whom to judge.
  * @returns whether nobody has told of the member yet.
  */
-export function isPresumed(member: Pick<Member, 'incarnation'>): boolean {
-	return member.incarnation === presumedIncarnation;
+export function isUnconfirmed(member: Pick<Member, 'incarnation'>): boolean {
+	return member.incarnation === unconfirmedIncarnation;
 }
 
 /**
--- a/src/membership/probe-targets.ts
+++ b/src/membership/probe-targets.ts
@@ -82,7 +82,7 @@
 	 * @param except - a member that must not be among them.
 	 * @returns members that could probe in this node's place, from its region where possible.
 	 */
-	helpers(count: number, except: Member): Member[] {
+	samplePeers(count: number, except: Member): Member[] {
 		const near: Member[] = [];
 		for (const member of this.directory.all()) {
 			const isCandidate = member.id !== except.id && member.id !== this.self().id;
--- a/src/node/__tests__/unit/backend-keeper.test.ts
+++ b/src/node/__tests__/unit/backend-keeper.test.ts
@@ -1,7 +1,7 @@
 import {describe, expect, it} from 'vitest';
 import {BackendState} from '../../../backend/index.js';
 import {ManualClock, type Millis} from '../../../clock/index.js';
-import {RevisionKeeper} from '../../../declaration/index.js';
+import {RevisionTracker} from '../../../declaration/index.js';
 import {Executor, TurmericBackendProtocol} from '../../../executor/index.js';
 import {MemberPhase} from '../../../membership/index.js';
 import {createTestGossip} from '../../../membership/__tests__/test-gossip.js';
@@ -31,7 +31,7 @@
 		logger: silentLogger,
 		executor,
 		gossip,
-		keeper: new RevisionKeeper(),
+		keeper: new RevisionTracker(),
 		silenceLimit: 9000,
 		isRestart,
 	});
@@ -102,7 +102,7 @@
 		keeper.announce(announce(5, 3, draining));
 		keeper.announce(announce(5, 2));
 		expect(keeper.state).toBe(BackendState.Draining);
-		expect(gossip.account.phase).toBe(MemberPhase.Draining);
+		expect(gossip.localMember.phase).toBe(MemberPhase.Draining);
 	});
 
 	it('stays draining when the same start says again that it is ready, also after a silence', () => {
@@ -131,7 +131,7 @@
 		keeper.announce(announce(5, 9, {instance: 'i-same'}));
 		keeper.announce(announce(5, 10, {instance: 'i-same', ...draining}));
 		keeper.announce(announce(8, 0, {instance: 'i-same'}));
-		expect(gossip.account.phase).toBe(MemberPhase.Serving);
+		expect(gossip.localMember.phase).toBe(MemberPhase.Serving);
 	});
 
 	it('drains a backend server that deregisters first, and ignores what it says afterwards', () => {
@@ -142,7 +142,7 @@
 		keeper.announce(announce(5, 2));
 		expect(keeper.state).toBe(BackendState.Draining);
 		keeper.announce(announce(6, 0));
-		expect(gossip.account.phase).toBe(MemberPhase.Serving);
+		expect(gossip.localMember.phase).toBe(MemberPhase.Serving);
 	});
 
 	it('drains a backend server whose departure does not tell its start', () => {
@@ -159,6 +159,6 @@
 		keeper.announce(announce(5, 1));
 		keeper.announce(announce(8, 1));
 		keeper.depart({instance: 'i-5', startedAt: 5});
-		expect(gossip.account.phase).toBe(MemberPhase.Serving);
+		expect(gossip.localMember.phase).toBe(MemberPhase.Serving);
 	});
 });
--- a/src/node/backend-finder.ts
+++ b/src/node/backend-finder.ts
@@ -1,6 +1,6 @@
 import {Agent} from 'undici';
 import {second, type Clock, type Millis} from '../clock/index.js';
-import type {RevisionKeeper} from '../declaration/index.js';
+import type {RevisionTracker} from '../declaration/index.js';
 import type {BackendProtocol} from '../executor/index.js';
 import {formatEndpoint, type Endpoint} from '../settings/index.js';
 import {logEvents, type Logger} from '../telemetry/index.js';
@@ -12,7 +12,7 @@
 export interface BackendFinderParts {
 	readonly clock: Clock;
 	readonly logger: Logger;
-	readonly keeper: RevisionKeeper;
+	readonly keeper: RevisionTracker;
 	readonly backend: BackendKeeper;
 	readonly protocol: BackendProtocol;
 	/** Where the backend server listens by the settings. */
--- a/src/node/backend-keeper.ts
+++ b/src/node/backend-keeper.ts
@@ -1,7 +1,7 @@
 import {createActor} from 'xstate';
 import {BackendEvent, backendMachine, BackendState, warmingSlots} from '../backend/index.js';
 import {second, type Clock, type Millis} from '../clock/index.js';
-import type {RevisionKeeper} from '../declaration/index.js';
+import type {RevisionTracker} from '../declaration/index.js';
 import type {Executor} from '../executor/index.js';
 import {MemberPhase, type Gossip} from '../membership/index.js';
 import {logEvents, type Logger} from '../telemetry/index.js';
@@ -13,7 +13,7 @@
 	readonly logger: Logger;
 	readonly executor: Executor;
 	readonly gossip: Gossip;
-	readonly keeper: RevisionKeeper;
+	readonly keeper: RevisionTracker;
 	/** A backend server that has not announced itself for so long is taken for gone, in ms. */
 	readonly silenceLimit?: Millis;
 	/** Whether this process took the place of one that may have known more of the backend server. */
@@ -252,8 +252,8 @@
 	private declare(phase: MemberPhase): void {
 		const service = this.announcement?.service ?? '';
 		const slots = this.announcement?.slots ?? 0;
-		this.parts.gossip.declare({phase, service, slots});
-		this.parts.gossip.pushNews(3);
+		this.parts.gossip.updateLocalMember({phase, service, slots});
+		this.parts.gossip.broadcastUpdates(3);
 	}
 }
 
--- a/src/node/backend-probe.ts
+++ b/src/node/backend-probe.ts
@@ -1,7 +1,7 @@
 import {Agent} from 'undici';
 import {TokenBucket} from '../budget/index.js';
 import {second, type Clock, type Millis} from '../clock/index.js';
-import type {RevisionKeeper} from '../declaration/index.js';
+import type {RevisionTracker} from '../declaration/index.js';
 import type {BackendProtocol} from '../executor/index.js';
 import {formatEndpoint} from '../settings/index.js';
 import type {Metrics} from '../telemetry/index.js';
@@ -38,7 +38,7 @@
 	readonly clock: Clock;
 	readonly metrics: Metrics;
 	readonly backend: BackendKeeper;
-	readonly keeper: RevisionKeeper;
+	readonly keeper: RevisionTracker;
 	readonly protocol: BackendProtocol;
 	readonly rate: ProbeRate;
 	readonly executor: ProbedExecutor;
--- a/src/node/crash-watcher.ts
+++ b/src/node/crash-watcher.ts
@@ -84,7 +84,7 @@
 	 */
 	lift(fingerprint: string): void {
 		const id = `lift ${this.parts.instance} ${this.parts.clock.now()}`;
-		this.parts.gossip.spread({id, kind: RumorKind.HoldLifted, fields: [fingerprint]});
+		this.parts.gossip.spreadRumor({id, kind: RumorKind.HoldLifted, fields: [fingerprint]});
 	}
 
 	// One broken connection is no crash; a backend server that takes no connection is.
@@ -108,7 +108,7 @@
 		this.parts.noteUnreachable();
 		const id = `crash ${this.parts.instance} ${this.crashes}`;
 		const fields = suspects.slice(0, maxReported);
-		this.parts.gossip.spread({id, kind: RumorKind.Crash, fields});
-		this.parts.gossip.pushNews(pushFanOut);
+		this.parts.gossip.spreadRumor({id, kind: RumorKind.Crash, fields});
+		this.parts.gossip.broadcastUpdates(pushFanOut);
 	}
 }
--- a/src/node/link-budgets.ts
+++ b/src/node/link-budgets.ts
@@ -1,6 +1,6 @@
 import {RegionBuckets, type TokenBucket} from '../budget/index.js';
 import type {Clock} from '../clock/index.js';
-import type {RevisionKeeper} from '../declaration/index.js';
+import type {RevisionTracker} from '../declaration/index.js';
 import type {Gossip, Member} from '../membership/index.js';
 import {TrafficKind, type Metrics} from '../telemetry/index.js';
 
@@ -8,7 +8,7 @@
 export interface LinkBudgetsParts {
 	readonly clock: Clock;
 	readonly metrics: Metrics;
-	readonly keeper: RevisionKeeper;
+	readonly keeper: RevisionTracker;
 	/** @returns the membership. */
 	gossip(): Gossip;
 }
@@ -40,7 +40,7 @@
 	}
 
 	private bucket(region: string): TokenBucket | undefined {
-		const {account, directory} = this.parts.gossip();
+		const {localMember: account, directory} = this.parts.gossip();
 		const link = this.parts.keeper.inForce?.link(account.region, region);
 		const nodes = directory.countInRegion(account.region);
 		return link && this.buckets.bucket(region, link.controlBytesPerSecond, nodes);
--- a/src/node/load-news.ts
+++ b/src/node/load-news.ts
@@ -77,7 +77,7 @@
 				return false;
 			}
 
-			const budget = this.budgets.get(distanceBetween(gossip.account, member));
+			const budget = this.budgets.get(distanceBetween(gossip.localMember, member));
 			return budget?.trySpend(1) ?? true;
 		});
 	}
--- a/src/routing/__tests__/unit/executor-draw.test.ts
+++ b/src/routing/__tests__/unit/executor-draw.test.ts
@@ -1,6 +1,6 @@
 import {describe, expect, it} from 'vitest';
 import {ManualClock, type Millis} from '../../../clock/index.js';
-import {createSelf, Directory, MemberPhase, type Member} from '../../../membership/index.js';
+import {createLocalMember, Directory, MemberPhase, type Member} from '../../../membership/index.js';
 import {createRandom} from '../../../random/index.js';
 import {ExecutorSampler} from '../../executor-draw.js';
 import {ObjectivePlacement} from '../../index.js';
@@ -10,12 +10,12 @@
 
 function createWorld(size: number) {
 	const directory = new Directory();
-	const self = createSelf('10.9.0.1:7001', 1, {region: 'r0', zone: 'z0'});
+	const self = createLocalMember('10.9.0.1:7001', 1, {region: 'r0', zone: 'z0'});
 	const add = (i: number): Member => {
 		const id = `10.0.${Math.floor(i / 100)}.${i % 100}:7001`;
 		const place = {region: `r${i % 2}`, zone: `z${i % 4}`};
 		const phase = MemberPhase.Serving;
-		const member: Member = {...createSelf(id, 1, place), phase, service: 's', slots: 6};
+		const member: Member = {...createLocalMember(id, 1, place), phase, service: 's', slots: 6};
 		directory.merge(member);
 		return member;
 	};
@@ -57,7 +57,7 @@
 		candidates.recordReport(far.id);
 		expect([...candidates.sample('s', none)]).toContain(far);
 		expect([...candidates.sample('s', new Set([far.id]))]).not.toContain(far);
-		directory.forget(far.id);
+		directory.remove(far.id);
 		expect([...candidates.sample('s', none)]).not.toContain(far);
 	});
 
--- a/src/routing/__tests__/unit/objective-placement.test.ts
+++ b/src/routing/__tests__/unit/objective-placement.test.ts
@@ -1,7 +1,7 @@
 import {describe, expect, it} from 'vitest';
 import {RefusalReason, type LoadReport} from '../../../call/index.js';
 import {ManualClock, type Millis} from '../../../clock/index.js';
-import {createSelf, Directory, MemberPhase, type Member} from '../../../membership/index.js';
+import {createLocalMember, Directory, MemberPhase, type Member} from '../../../membership/index.js';
 import {createRandom} from '../../../random/index.js';
 import {ObjectivePlacement} from '../../index.js';
 import {createQuery} from '../test-query.js';
@@ -19,10 +19,10 @@
 function createWorld() {
 	const clock = new ManualClock(1000);
 	const directory = new Directory();
-	const self = createSelf('10.0.0.1:7001', 1, {region: 'r1', zone: 'a'});
+	const self = createLocalMember('10.0.0.1:7001', 1, {region: 'r1', zone: 'a'});
 	const add = (id: string, region: string, zone: string): Member => {
 		const member = {
-			...createSelf(id, 1, {region, zone}),
+			...createLocalMember(id, 1, {region, zone}),
 			phase: MemberPhase.Serving,
 			service: 's',
 			slots: 9,
@@ -105,7 +105,7 @@
 		const {placement, directory} = createWorld();
 		expect(placement.maxWaitForExecutor(createQuery())).toBe(0);
 		for (const id of ['near', 'zone', 'region']) {
-			directory.forget(id);
+			directory.remove(id);
 		}
 
 		expect(placement.noExecutorReason(createQuery())).toBe(RefusalReason.NoBackend);
--- a/src/routing/__tests__/unit/second-attempts.test.ts
+++ b/src/routing/__tests__/unit/second-attempts.test.ts
@@ -1,7 +1,7 @@
 import {describe, expect, it} from 'vitest';
 import type {LoadReport} from '../../../call/index.js';
 import {ManualClock, type Millis} from '../../../clock/index.js';
-import {createSelf, Directory, MemberPhase, type Member} from '../../../membership/index.js';
+import {createLocalMember, Directory, MemberPhase, type Member} from '../../../membership/index.js';
 import {createRandom, type Random} from '../../../random/index.js';
 import {ObjectivePlacement, type PlacementQuery} from '../../index.js';
 
@@ -42,7 +42,7 @@
 		this.spells = createRandom(seed);
 		this.chance = createRandom(seed + 100);
 		for (let i = 0; i < executors; i++) {
-			const account = createSelf(`10.0.0.${i + 1}:7001`, 1, place);
+			const account = createLocalMember(`10.0.0.${i + 1}:7001`, 1, place);
 			const member = {...account, phase: MemberPhase.Serving, service: 's', slots};
 			this.directory.merge(member);
 			this.executors.push({member, slowdown: 1, running: new Set()});
@@ -52,7 +52,7 @@
 			random: createRandom(1),
 			clock: this.clock,
 			directory: this.directory,
-			self: () => createSelf('10.0.1.1:7001', 1, place),
+			self: () => createLocalMember('10.0.1.1:7001', 1, place),
 			costs: {otherZone: 0, otherRegion: 0},
 			lowestPriority: () => 2,
 		});
--- a/src/routing/executor-draw.ts
+++ b/src/routing/executor-draw.ts
@@ -83,7 +83,7 @@
 
 	private ringsOf(service: string): Rings {
 		const known = this.rings.get(service);
-		const {revision} = this.directory;
+		const {changeCount: revision} = this.directory;
 		if (known?.revision === revision) {
 			return known;
 		}
--- a/src/wiring/node-core.ts
+++ b/src/wiring/node-core.ts
@@ -2,18 +2,18 @@
 import {createActor} from 'xstate';
 import type {Clock, Millis, Undo} from '../clock/index.js';
 import {GossipSocket} from '../datagram/index.js';
-import {RevisionKeeper, type RevisionNews} from '../declaration/index.js';
+import {RevisionTracker, type KnownRevisions} from '../declaration/index.js';
 import type {AttemptRunner} from '../exchange/index.js';
 import {Executor, type BackendProtocol} from '../executor/index.js';
 import {CallRunner, type BudgetBursts} from '../ingress/index.js';
 import {LinkHub, OpenTarget, type HubHost} from '../link/index.js';
 import {
-	createSelf,
+	createLocalMember,
 	defaultGossipSettings,
 	Gossip,
 	isPresent,
 	type GossipHost,
-	type Held,
+	type HeldRevision,
 	type Rumor,
 } from '../membership/index.js';
 import {BackendKeeper} from '../node/backend-keeper.js';
@@ -46,8 +46,8 @@
 	probeSpeed(): Promise<void>;
 	/** The load of the own backend server has changed so much that others should know. */
 	loadChanged(): void;
-	hearRevisionNews(news: RevisionNews, from: string): void;
-	hearHeld(held: Held): void;
+	hearRevisionNews(news: KnownRevisions, from: string): void;
+	hearHeld(held: HeldRevision): void;
 	hearRumor(rumor: Rumor): void;
 }
 
@@ -61,7 +61,7 @@
 /** What every node is made of: membership, links, executor, and the runner of calls. */
 export class NodeCore {
 	readonly metrics = new Metrics();
-	readonly keeper = new RevisionKeeper();
+	readonly keeper = new RevisionTracker();
 	readonly lifecycle = createActor(nodeMachine).start();
 	readonly random: Random;
 	readonly id: string;
@@ -92,7 +92,7 @@
 		this.pauses = new PauseWatch(clock);
 		this.budgets = new LinkBudgets({clock, metrics, keeper, gossip: () => this.gossip});
 		this.socket = this.createSocket();
-		this.gossip = new Gossip(createSelf(this.id, incarnation, settings), {
+		this.gossip = new Gossip(createLocalMember(this.id, incarnation, settings), {
 			settings: defaultGossipSettings,
 			clock,
 			random: this.random,
@@ -182,7 +182,7 @@
 
 	// An idle node is not woken up for probes that were answered at once.
 	private checkGossipLater(): void {
-		if (!this.gossip.isWaiting) {
+		if (!this.gossip.hasPendingChecks) {
 			this.undoGossipCheck?.();
 			this.undoGossipCheck = undefined;
 			return;
@@ -190,7 +190,7 @@
 
 		this.undoGossipCheck ??= this.clock.after(gossipCheckPeriod, () => {
 			this.undoGossipCheck = undefined;
-			this.gossip.check();
+			this.gossip.checkProbes();
 			this.checkGossipLater();
 		});
 	}
@@ -198,15 +198,15 @@
 	private createSocket(): GossipSocket {
 		return new GossipSocket({
 			secret: this.settings.secret,
-			received: (message) => {
+			onMessage: (message) => {
 				this.gossip.receive(message);
 				this.checkGossipLater();
 			},
-			rejected: (reason) => {
+			onReject: (reason) => {
 				this.metrics.gossipRejects.inc({reason});
 				this.logger.log(logEvents.datagramRejected, {reason});
 			},
-			sent: (to, bytes) => {
+			onSent: (to, bytes) => {
 				this.budgets.chargeControl(to, bytes);
 			},
 		});
@@ -218,18 +218,18 @@
 				this.socket.send(to, message);
 			},
 			mayProbe: (member) => this.budgets.mayProbe(member),
-			revisionNews: () => this.keeper.heard,
-			hearRevisionNews: (news, from) => {
+			knownRevisions: () => this.keeper.known,
+			handleKnownRevisions: (news, from) => {
 				this.hooks.hearRevisionNews(news, from);
 			},
-			hearRumor: (rumor) => {
+			handleRumor: (rumor) => {
 				this.crashes.hear(rumor);
 				this.hooks.hearRumor(rumor);
 			},
-			hearHeld: (held) => {
+			handleHeldRevision: (held) => {
 				this.hooks.hearHeld(held);
 			},
-			hearPause: (span) => {
+			handlePause: (span) => {
 				this.logger.log(logEvents.nodePaused, {pause: Math.round(span)});
 			},
 		};
@@ -291,7 +291,7 @@
 				peerLeaving: avoid,
 				peerSilent: avoid,
 				peerLost: (id) => {
-					this.gossip.doubt(id);
+					this.gossip.sendSuspicionProbe(id);
 					this.checkGossipLater();
 				},
 			},
--- a/src/wiring/operator-routes.ts
+++ b/src/wiring/operator-routes.ts
@@ -49,7 +49,7 @@
 }
 
 function statusOf(node: OperatedNode) {
-	const {accepted, staged} = node.core.keeper.heard;
+	const {accepted, staged} = node.core.keeper.known;
 	return {
 		id: node.core.id,
 		instance: node.core.instance,
--- a/src/wiring/routed-node.ts
+++ b/src/wiring/routed-node.ts
@@ -202,7 +202,7 @@
 		this.ingress.drain();
 		await pause(clock, lingerTime - handBackTime);
 		backend.drainNode();
-		gossip.declare({phase: MemberPhase.Draining});
+		gossip.updateLocalMember({phase: MemberPhase.Draining});
 		hub.announceLeaving();
 		gossip.flush();
 		await pause(clock, handBackTime);
@@ -213,7 +213,7 @@
 			() => this.ingress.inFlight + executor.busy + hub.callsInFlight,
 			until,
 		);
-		gossip.declare({phase: MemberPhase.Left});
+		gossip.updateLocalMember({phase: MemberPhase.Left});
 		gossip.flush();
 		await pause(clock, farewellTime);
 		this.closeAll();
@@ -271,7 +271,7 @@
 		this.placement = new ObjectivePlacement({
 			clock,
 			directory: gossip.directory,
-			self: () => gossip.account,
+			self: () => gossip.localMember,
 			random,
 			costs: {otherZone, otherRegion},
 			lowestPriority: () => this.lowestPriority,
@@ -317,7 +317,7 @@
 			return;
 		}
 
-		const isNear = distanceBetween(gossip.account, member) === Distance.SameZone;
+		const isNear = distanceBetween(gossip.localMember, member) === Distance.SameZone;
 		const {directory} = gossip;
 		const size = isNear ? directory.countInZone(member) : directory.size;
 		if (size <= fullMeshMembers) {
--- a/src/wiring/turmeric-node.ts
+++ b/src/wiring/turmeric-node.ts
@@ -131,7 +131,7 @@
 		lifecycle.send({type: NodeEvent.StopAsked});
 		this.logger.log(logEvents.nodeDraining);
 		backend.drainNode();
-		gossip.declare({phase: MemberPhase.Draining});
+		gossip.updateLocalMember({phase: MemberPhase.Draining});
 		hub.announceLeaving();
 		gossip.flush();
 		this.ingress.drain();
@@ -145,7 +145,7 @@
 			await this.homes.handOver(this.keyedCalls.exportRecords());
 		}
 
-		gossip.declare({phase: MemberPhase.Left});
+		gossip.updateLocalMember({phase: MemberPhase.Left});
 		gossip.flush();
 		await pause(this.clock, farewellTime);
 		this.closeAll();
@@ -160,7 +160,7 @@
 			silenceLimit: undefined,
 			isRestart: false,
 			createPlacement({clock, random, gossip, keeper}) {
-				const routing = new ExpectedWaitPolicy({clock, random, self: () => gossip.account});
+				const routing = new ExpectedWaitPolicy({clock, random, self: () => gossip.localMember});
 				return new NearestFirstPlacement({clock, gossip, routing, keeper});
 			},
 			budgetBursts: () => budgetBursts,
