--- a/src/claims/__tests__/unit/keyed-calls.test.ts
+++ b/src/claims/__tests__/unit/keyed-calls.test.ts
@@ -8,7 +8,7 @@
 	Cancellation,
 	createRefused,
 	createUnknown,
-	createWholeBody,
+	createBufferedBody,
 	type AttemptResult,
 	type Call,
 } from '../../../exchange/index.js';
@@ -20,7 +20,7 @@
 	type WriteOperation,
 	type WriteResult,
 } from '../../../store/index.js';
-import {ClaimWriter, KeyedCalls, type KeyHome} from '../../index.js';
+import {ClaimWriter, KeyedCalls, type KeyOwner} from '../../index.js';
 
 const service = {
 	service: 's',
@@ -104,7 +104,7 @@
 
 	constructor(size: number) {
 		for (let i = 0; i < size; i++) {
-			const self: KeyHome = {id: `10.0.0.${i + 1}:7001`, instance: `i${i}`};
+			const self: KeyOwner = {id: `10.0.0.${i + 1}:7001`, instance: `i${i}`};
 			const {clock, table} = this;
 			this.nodes.push(
 				new KeyedCalls({
@@ -115,12 +115,12 @@
 						this.runs += this.next.end === AttemptEnd.Refused ? 0 : 1;
 						return {result: this.next, attempts: 1, executor: undefined};
 					},
-					sendHome: async (home, call) => {
+					sendToOwner: async (home, call) => {
 						const owner = Number(home.instance.slice(1));
-						const end = await this.nodes[owner]!.runAsHome(call, 'key');
+						const end = await this.nodes[owner]!.runAsOwner(call, 'key');
 						return end.result;
 					},
-					heirOf: async () => undefined,
+					findSuccessor: async () => undefined,
 				}),
 			);
 		}
@@ -155,8 +155,8 @@
 			index,
 			deadline: new Deadline(this.clock.now() + 1000),
 			objective: new Deadline(this.clock.now() + 1000),
-			objectiveSpan: 1000,
-			body: createWholeBody(new Uint8Array()),
+			objectiveDuration: 1000,
+			body: createBufferedBody(new Uint8Array()),
 			cancellation: new Cancellation(),
 		};
 	}
@@ -166,7 +166,7 @@
 	end: AttemptEnd.Answered,
 	status: 200,
 	headers: [],
-	body: createWholeBody(Uint8Array.from([1])),
+	body: createBufferedBody(Uint8Array.from([1])),
 	load: undefined,
 };
 
--- a/src/claims/claim-keys.ts
+++ b/src/claims/claim-keys.ts
@@ -1,7 +1,7 @@
 import {minute, type Millis} from '../clock/index.js';
 
 /** Length of the time buckets in which rows of claims lie. */
-export const bucketTime: Millis = 10 * minute;
+export const bucketDuration: Millis = 10 * minute;
 
 /** Start of the rows of idempotency keys. */
 export const claimPrefix = 'claims/';
@@ -10,7 +10,7 @@
 
 /** Where the claim of a key is written, and where an earlier one may lie. */
 export interface ClaimKeys {
-	readonly own: string;
+	readonly current: string;
 	readonly others: readonly string[];
 }
 
@@ -27,7 +27,7 @@
  * @returns the bucket into which claims are written then.
  */
 export function bucketAt(wallTime: Millis): number {
-	return Math.floor(wallTime / bucketTime);
+	return Math.floor(wallTime / bucketDuration);
 }
 
 /**
@@ -38,11 +38,11 @@
  */
 export function claimKeys(key: string, wallTime: Millis, retention: Millis): ClaimKeys {
 	const bucket = bucketAt(wallTime);
-	const depth = Math.ceil(retention / bucketTime) + 1;
+	const depth = Math.ceil(retention / bucketDuration) + 1;
 	const others = [`${bucketPrefix(bucket + 1)}${key}`];
 	for (let age = 1; age <= depth; age++) {
 		others.push(`${bucketPrefix(bucket - age)}${key}`);
 	}
 
-	return {own: `${bucketPrefix(bucket)}${key}`, others};
+	return {current: `${bucketPrefix(bucket)}${key}`, others};
 }
--- a/src/claims/claim-sweeper.ts
+++ b/src/claims/claim-sweeper.ts
@@ -1,6 +1,6 @@
 import type {Clock} from '../clock/index.js';
 import {StoreUnavailableError, type TableService} from '../store/index.js';
-import {bucketAt, bucketPrefix, bucketTime} from './claim-keys.js';
+import {bucketAt, bucketPrefix, bucketDuration} from './claim-keys.js';
 
 /** Buckets that are older than the longest retention, one more for each side as clocks differ. */
 const keptBuckets = 9;
@@ -30,4 +30,4 @@
 }
 
 /** Time between two rounds, in ms. */
-export const sweepPeriod = bucketTime / 2;
+export const sweepPeriod = bucketDuration / 2;
--- a/src/claims/claim-writer.ts
+++ b/src/claims/claim-writer.ts
@@ -10,7 +10,7 @@
 import {claimKeys} from './claim-keys.js';
 
 /** The node that is home to a key. */
-export interface KeyHome {
+export interface KeyOwner {
 	/** Address of the node. */
 	readonly id: string;
 	/** Incarnation of the node. */
@@ -18,15 +18,15 @@
 }
 
 /** What a claim writer is made of. */
-export interface ClaimWriterParts {
+export interface ClaimWriterDependencies {
 	readonly clock: Clock;
 	readonly store: TableService;
-	readonly self: KeyHome;
+	readonly self: KeyOwner;
 }
 
 type Pending = {
 	readonly operation: WriteOperation;
-	readonly resolve: (home: KeyHome | undefined) => void;
+	readonly resolve: (home: KeyOwner | undefined) => void;
 };
 
 /** Claims wait so long for others, to share one transaction. */
@@ -42,7 +42,7 @@
 	private readonly pending: Pending[] = [];
 	private isWriting = false;
 
-	constructor(private readonly parts: ClaimWriterParts) {}
+	constructor(private readonly parts: ClaimWriterDependencies) {}
 
 	/**
 	 * @param key - service, customer and idempotency key.
@@ -50,14 +50,14 @@
 	 * @returns the home of the key: this node if the claim is its own; undefined when the store does
 	 * not answer, so that nothing is known.
 	 */
-	async claim(key: string, retention: Millis): Promise<KeyHome | undefined> {
+	async claim(key: string, retention: Millis): Promise<KeyOwner | undefined> {
 		if (this.pending.length >= maxPending) {
 			return undefined;
 		}
 
 		const {clock, self} = this.parts;
-		const {own, others} = claimKeys(key, clock.wallNow(), retention);
-		const {promise, resolve} = withResolvers<KeyHome | undefined>();
+		const {current: own, others} = claimKeys(key, clock.wallNow(), retention);
+		const {promise, resolve} = withResolvers<KeyOwner | undefined>();
 		const value = JSON.stringify(self);
 		const operation = {key: own, value, expect: Expect.Absent, alsoAbsent: others};
 		this.pending.push({operation, resolve});
@@ -109,7 +109,7 @@
 	}
 }
 
-function homeOf(row: Row | undefined): KeyHome | undefined {
+function homeOf(row: Row | undefined): KeyOwner | undefined {
 	// Rows of claims are written by this class only.
-	return row && (JSON.parse(row.value) as KeyHome); // eslint-disable-line @typescript-eslint/no-unsafe-type-assertion
+	return row && (JSON.parse(row.value) as KeyOwner); // eslint-disable-line @typescript-eslint/no-unsafe-type-assertion
 }
--- a/src/claims/issued-key.ts
+++ b/src/claims/issued-key.ts
@@ -1,5 +1,5 @@
 import {parseEndpoint} from '../settings/index.js';
-import type {KeyHome} from './claim-writer.js';
+import type {KeyOwner} from './claim-writer.js';
 
 const mark = 'tmk1';
 const separator = '~';
@@ -11,7 +11,7 @@
  * @param sequence - counts up within one incarnation.
  * @returns the key.
  */
-export function createIssuedKey(home: KeyHome, sequence: number): string {
+export function createIssuedKey(home: KeyOwner, sequence: number): string {
 	return [mark, home.id, home.instance, sequence].join(separator);
 }
 
@@ -19,7 +19,7 @@
  * @param key - an idempotency key.
  * @returns the home that the key names; undefined for a caller's own key.
  */
-export function parseIssuedKey(key: string): KeyHome | undefined {
+export function parseIssuedKey(key: string): KeyOwner | undefined {
 	const [start, id, instance, sequence] = key.split(separator);
 	const isIssued = start === mark && id !== undefined && instance !== undefined;
 	if (!isIssued || sequence === undefined || !parseEndpoint(id)) {
--- a/src/claims/key-homes.ts
+++ b/src/claims/key-homes.ts
@@ -13,14 +13,14 @@
 import {isPresent, MemberPhase, RumorKind, type Gossip, type Rumor} from '../membership/index.js';
 import {Expect, type TableService} from '../store/index.js';
 import {rendezvous} from '../util/index.js';
-import type {KeyHome} from './claim-writer.js';
+import type {KeyOwner} from './claim-writer.js';
 
 /** What the homes of keys are reached through. */
-export interface KeyHomesParts {
-	readonly self: KeyHome;
+export interface KeyOwnersDependencies {
+	readonly self: KeyOwner;
 	readonly gossip: Gossip;
 	readonly hub: LinkHub;
-	readonly keeper: RevisionTracker;
+	readonly revisions: RevisionTracker;
 	/** Undefined for a node without a store. */
 	readonly store: TableService | undefined;
 }
@@ -36,15 +36,15 @@
 ]);
 
 /** Finds the homes of keys and their heirs, and hands over to an heir. */
-export class KeyHomes {
-	private readonly heirs = new Map<string, KeyHome>();
+export class KeyOwners {
+	private readonly heirs = new Map<string, KeyOwner>();
 
-	constructor(private readonly parts: KeyHomesParts) {}
+	constructor(private readonly parts: KeyOwnersDependencies) {}
 
 	/**
 	 * @param rumor - tells who has taken over the keys of a node.
 	 */
-	hear(rumor: Rumor): void {
+	handleRumor(rumor: Rumor): void {
 		const [from, id, instance] = rumor.fields;
 		const isHandover = rumor.kind === RumorKind.Handover;
 		if (isHandover && from !== undefined && id !== undefined && instance !== undefined) {
@@ -56,9 +56,9 @@
 	 * @param attempt - an attempt that another node has sent.
 	 * @returns the call that it belongs to; undefined when it is not declared here.
 	 */
-	callOf(attempt: Attempt): Call | undefined {
+	createCall(attempt: Attempt): Call | undefined {
 		const {service: name, customer} = attempt.head;
-		const index = this.parts.keeper.inForce;
+		const index = this.parts.revisions.inForce;
 		const service = index?.service(name);
 		const policy = index?.call(name, customer);
 		if (!index || !service || !policy) {
@@ -76,7 +76,7 @@
 			index,
 			deadline,
 			objective,
-			objectiveSpan,
+			objectiveDuration: objectiveSpan,
 			body,
 			cancellation,
 		};
@@ -88,7 +88,7 @@
 	 * @param call - the call.
 	 * @returns how it ended.
 	 */
-	async send(home: KeyHome, call: Call): Promise<AttemptResult> {
+	async send(home: KeyOwner, call: Call): Promise<AttemptResult> {
 		const {gossip, hub} = this.parts;
 		const member = gossip.directory.get(home.id);
 		if (member && !isPresent(member)) {
@@ -113,7 +113,7 @@
 	 * @param home - the home of a key.
 	 * @returns who has taken over its keys; undefined when nobody is known to.
 	 */
-	async heirOf(home: KeyHome): Promise<KeyHome | undefined> {
+	async findSuccessor(home: KeyOwner): Promise<KeyOwner | undefined> {
 		const {gossip, store} = this.parts;
 		const known = this.heirs.get(home.instance);
 		const member = gossip.directory.get(home.id);
@@ -124,7 +124,7 @@
 
 		try {
 			const row = await store.read(`${handoverPrefix}${home.instance}`);
-			return row && (JSON.parse(row.value) as KeyHome); // eslint-disable-line @typescript-eslint/no-unsafe-type-assertion
+			return row && (JSON.parse(row.value) as KeyOwner); // eslint-disable-line @typescript-eslint/no-unsafe-type-assertion
 		} catch {
 			return undefined;
 		}
@@ -155,7 +155,7 @@
 			share: policy.share,
 			deadline: new Deadline(deadline.at),
 			objective,
-			isBounceable: false,
+			canRetryElsewhere: false,
 			body,
 			cancellation,
 		});
@@ -182,7 +182,7 @@
 		];
 	}
 
-	private async nameHeir(heir: KeyHome): Promise<void> {
+	private async nameHeir(heir: KeyOwner): Promise<void> {
 		const {gossip, self, store} = this.parts;
 		const {instance} = self;
 		const fields = [instance, heir.id, heir.instance];
--- a/src/claims/keyed-calls.ts
+++ b/src/claims/keyed-calls.ts
@@ -12,26 +12,26 @@
 	AttemptEnd,
 	createRefused,
 	createUnknown,
-	createWholeBody,
+	createBufferedBody,
 	type Attempt,
 	type AttemptResult,
 	type Call,
 	type CallEnd,
 } from '../exchange/index.js';
-import type {ClaimWriter, KeyHome} from './claim-writer.js';
+import type {ClaimWriter, KeyOwner} from './claim-writer.js';
 import {createIssuedKey, parseIssuedKey} from './issued-key.js';
 
 /** An answer that is kept for callers that send again. */
-export interface KeptAnswer {
+export interface StoredAnswer {
 	readonly status: number;
 	readonly headers: HeaderList;
 	readonly body: Uint8Array;
 }
 
 /** What keyed calls are made of. */
-export interface KeyedCallsParts {
+export interface KeyedCallsDependencies {
 	readonly clock: Clock;
-	readonly self: KeyHome;
+	readonly self: KeyOwner;
 	/** Undefined for a node without a store. */
 	readonly claims: ClaimWriter | undefined;
 	/** Runs a call that may run now. */
@@ -41,12 +41,12 @@
 	 * @param home - the home.
 	 * @param call - the call.
 	 */
-	sendHome(home: KeyHome, call: Call): Promise<AttemptResult>;
+	sendToOwner(home: KeyOwner, call: Call): Promise<AttemptResult>;
 	/**
 	 * @param home - the home of a key.
 	 * @returns who has taken over its keys; undefined when nobody is known to.
 	 */
-	heirOf(home: KeyHome): Promise<KeyHome | undefined>;
+	findSuccessor(home: KeyOwner): Promise<KeyOwner | undefined>;
 }
 
 type Waiting = {readonly promise: Promise<CallEnd>};
@@ -60,11 +60,11 @@
 
 /** Lets each call with an idempotency key run at most once. */
 export class KeyedCalls {
-	private readonly ledger = new KeyLedger<KeptAnswer>({maxRecords, maxBytes});
+	private readonly ledger = new KeyLedger<StoredAnswer>({maxRecords, maxBytes});
 	private readonly running = new Map<string, Waiting>();
 	private issued = 0;
 
-	constructor(private readonly parts: KeyedCallsParts) {
+	constructor(private readonly parts: KeyedCallsDependencies) {
 		parts.clock.repeat(expiryPeriod, () => {
 			this.ledger.expire(parts.clock.now());
 		});
@@ -104,7 +104,7 @@
 	 * @param key - its key.
 	 * @returns how it ended.
 	 */
-	async runAsHome(call: Call, key: string): Promise<CallEnd> {
+	async runAsOwner(call: Call, key: string): Promise<CallEnd> {
 		const id = recordId(call, key);
 		const home = parseIssuedKey(key);
 		const isHome = home ? this.isSelf(home) : false;
@@ -127,7 +127,7 @@
 			return createUnknown(RefusalReason.KeyNotChecked);
 		}
 
-		const end = await this.runAsHome(call, key);
+		const end = await this.runAsOwner(call, key);
 		return end.result;
 	}
 
@@ -167,7 +167,7 @@
 		}
 	}
 
-	private isSelf(home: KeyHome): boolean {
+	private isSelf(home: KeyOwner): boolean {
 		return home.id === this.parts.self.id && home.instance === this.parts.self.instance;
 	}
 
@@ -293,12 +293,12 @@
 		});
 	}
 
-	private async runElsewhere(home: KeyHome, call: Call): Promise<CallEnd> {
+	private async runElsewhere(home: KeyOwner, call: Call): Promise<CallEnd> {
 		let current = home;
 		for (let heirs = 0; heirs < maxHeirs; heirs++) {
 			// Each step depends on who the last one named.
 			// eslint-disable-next-line no-await-in-loop
-			const heir = await this.parts.heirOf(current);
+			const heir = await this.parts.findSuccessor(current);
 			if (!heir) {
 				break;
 			}
@@ -311,7 +311,7 @@
 			return endWith(known ? replay(known) : createUnknown(RefusalReason.KeyForgotten));
 		}
 
-		return endWith(await this.parts.sendHome(current, call));
+		return endWith(await this.parts.sendToOwner(current, call));
 	}
 }
 
@@ -330,11 +330,11 @@
 	return isStream ? createUnknown(RefusalReason.AnswerNotKept) : result;
 }
 
-function replay(record: KeyRecord<KeptAnswer>): AttemptResult {
+function replay(record: KeyRecord<StoredAnswer>): AttemptResult {
 	switch (record.state) {
 		case KeyState.Answered: {
 			const {status, headers, body} = record.answer!;
-			const whole = createWholeBody(body);
+			const whole = createBufferedBody(body);
 			return {end: AttemptEnd.Answered, status, headers, body: whole, load: undefined};
 		}
 
@@ -357,7 +357,7 @@
 	return Array.isArray(fields) && typeof fields[0] === 'string' && typeof fields[1] === 'string';
 }
 
-function unpackRecord(fields: unknown, now: Millis): KeyRecord<KeptAnswer> | undefined {
+function unpackRecord(fields: unknown, now: Millis): KeyRecord<StoredAnswer> | undefined {
 	if (!isPackedRecord(fields)) {
 		return undefined;
 	}
--- a/src/exchange/attempt.ts
+++ b/src/exchange/attempt.ts
@@ -29,7 +29,7 @@
 	/** When the answer is late, though its caller still waits. */
 	readonly objective: Deadline;
 	/** Whether the call would rather be refused than wait, as it can try elsewhere. */
-	readonly isBounceable: boolean;
+	readonly canRetryElsewhere: boolean;
 	readonly body: Body;
 	readonly cancellation: Cancellation;
 }
--- a/src/exchange/body.ts
+++ b/src/exchange/body.ts
@@ -2,7 +2,7 @@
 import type {HeaderList} from '../call/index.js';
 
 /** Bodies up to this many bytes travel in one piece with their head. */
-export const inlineBodyBytes = 65_536;
+export const maxInlineBodyBytes = 65_536;
 
 /** A body that is here as a whole, or a stream that is read once. */
 export interface Body {
@@ -22,7 +22,7 @@
  * @param isDelimited - whether the sender marks the end of the body.
  * @returns a body that is here as a whole.
  */
-export function createWholeBody(
+export function createBufferedBody(
 	bytes: Uint8Array,
 	trailers: HeaderList = [],
 	isDelimited = true,
--- a/src/exchange/call.ts
+++ b/src/exchange/call.ts
@@ -15,7 +15,7 @@
 	/** When the answer is late, though its caller still waits. */
 	readonly objective: Deadline;
 	/** How long an answer is in time, in ms. */
-	readonly objectiveSpan: Millis;
+	readonly objectiveDuration: Millis;
 	readonly body: Body;
 	readonly cancellation: Cancellation;
 }
@@ -28,5 +28,5 @@
 	/** The executor of the last attempt. */
 	readonly executor: string | undefined;
 	/** When there will be room for a call that was refused, in ms from now; undefined where unknown. */
-	readonly roomIn?: Millis | undefined;
+	readonly retryAfter?: Millis | undefined;
 }
--- a/src/exchange/index.ts
+++ b/src/exchange/index.ts
@@ -9,6 +9,11 @@
 	type RefusedAttempt,
 	type UnknownAttempt,
 } from './attempt.js';
-export {createStreamBody, createWholeBody, inlineBodyBytes, type Body} from './body.js';
+export {
+	createStreamBody,
+	createBufferedBody as createBufferedBody,
+	maxInlineBodyBytes as maxInlineBodyBytes,
+	type Body,
+} from './body.js';
 export type {Call, CallEnd} from './call.js';
 export {Cancellation} from './cancellation.js';
--- a/src/executor/backend-call.ts
+++ b/src/executor/backend-call.ts
@@ -6,12 +6,12 @@
 	createRefused,
 	createStreamBody,
 	createUnknown,
-	createWholeBody,
-	inlineBodyBytes,
+	createBufferedBody,
+	maxInlineBodyBytes,
 	type AttemptResult,
 } from '../exchange/index.js';
 import {concatBytes} from '../util/index.js';
-import {AnswerVerdict, type BackendLoad, type BackendProtocol} from './backend-protocol.js';
+import {AnswerKind, type BackendLoad, type BackendProtocol} from './backend-protocol.js';
 import {hasHeader, stripHeaders} from './headers.js';
 import type {ResetWatch} from './reset-watch.js';
 
@@ -31,9 +31,9 @@
 /** Hears how a call at the backend server goes. */
 export interface BackendCallListener {
 	/** An answer told the load of the backend server. */
-	loadRead(load: BackendLoad): void;
+	onLoad(load: BackendLoad): void;
 	/** The backend server has answered in full, or will not answer. */
-	ended(end: BackendCallEnd): void;
+	onEnd(end: BackendCallEnd): void;
 }
 
 const serverErrorStatus = 500;
@@ -53,13 +53,13 @@
 	override name = 'ResetAnswerError';
 }
 
-const notRunReasons: Readonly<Partial<Record<AnswerVerdict, RefusalReason>>> = {
-	[AnswerVerdict.NotRun]: RefusalReason.BackendRefused,
-	[AnswerVerdict.OtherInstance]: RefusalReason.BackendReplaced,
+const notRunReasons: Readonly<Partial<Record<AnswerKind, RefusalReason>>> = {
+	[AnswerKind.NotRun]: RefusalReason.BackendRefused,
+	[AnswerKind.OtherInstance]: RefusalReason.BackendReplaced,
 };
 
 /** What a call is made of. */
-export interface BackendCallParts {
+export interface BackendCallDependencies {
 	readonly requestId: string;
 	readonly protocol: BackendProtocol;
 	readonly resets: ResetWatch;
@@ -77,14 +77,14 @@
 	private isEnded = false;
 	private isCanceled = false;
 	private status = 0;
-	private verdict = AnswerVerdict.Answer;
+	private verdict = AnswerKind.Answer;
 	private headers: HeaderList = [];
 	private readonly trailers: HeaderList = [];
 	private readonly chunks: Uint8Array[] = [];
 	private heldBytes = 0;
 	private stream: PassThrough | undefined;
 
-	constructor(private readonly parts: BackendCallParts) {}
+	constructor(private readonly parts: BackendCallDependencies) {}
 
 	// The library calls this in the loop turn in which it writes the first byte.
 	onRequestStart(controller: Dispatcher.DispatchController): void {
@@ -104,15 +104,18 @@
 
 		this.status = status;
 		this.headers = toHeaderList(controller.rawHeaders);
-		this.verdict = this.parts.protocol.judge({status, headers: this.headers}, this.parts.requestId);
-		if (this.verdict === AnswerVerdict.Foreign) {
+		this.verdict = this.parts.protocol.classify(
+			{status, headers: this.headers},
+			this.parts.requestId,
+		);
+		if (this.verdict === AnswerKind.Foreign) {
 			controller.abort(new ForeignAnswerError('the answer belongs to no request'));
 			return;
 		}
 
 		const load = this.parts.protocol.readLoad(this.headers);
 		if (load) {
-			this.parts.listener.loadRead(load);
+			this.parts.listener.onLoad(load);
 		}
 	}
 
@@ -121,7 +124,7 @@
 		if (!this.stream) {
 			this.chunks.push(chunk);
 			this.heldBytes += chunk.length;
-			if (this.heldBytes <= inlineBodyBytes) {
+			if (this.heldBytes <= maxInlineBodyBytes) {
 				return;
 			}
 
@@ -173,7 +176,7 @@
 	}
 
 	private startStream(controller: Dispatcher.DispatchController): void {
-		const stream = new PassThrough({highWaterMark: inlineBodyBytes});
+		const stream = new PassThrough({highWaterMark: maxInlineBodyBytes});
 		this.stream = stream;
 		stream.on('drain', () => {
 			controller.resume();
@@ -210,7 +213,7 @@
 			end: AttemptEnd.Answered,
 			status: this.status,
 			headers: stripHeaders(this.headers),
-			body: createWholeBody(bytes, this.trailers, isDelimited(this.headers)),
+			body: createBufferedBody(bytes, this.trailers, isDelimited(this.headers)),
 			load: undefined,
 		};
 	}
@@ -218,7 +221,7 @@
 	private end(end: BackendCallEnd): void {
 		if (!this.isEnded) {
 			this.isEnded = true;
-			this.parts.listener.ended(end);
+			this.parts.listener.onEnd(end);
 		}
 	}
 }
--- a/src/executor/backend-client.ts
+++ b/src/executor/backend-client.ts
@@ -1,7 +1,7 @@
 import {PassThrough, type Readable} from 'node:stream';
 import {Pool} from 'undici';
 import type {Clock} from '../clock/index.js';
-import {inlineBodyBytes, type Attempt, type AttemptResult} from '../exchange/index.js';
+import {maxInlineBodyBytes, type Attempt, type AttemptResult} from '../exchange/index.js';
 import {formatEndpoint, type Endpoint} from '../settings/index.js';
 import {
 	AbortedError,
@@ -26,7 +26,7 @@
 
 function protect(stream: Readable): Readable {
 	// The library destroys a body that it gives up; the caller's socket must outlive that.
-	const copy = new PassThrough({highWaterMark: inlineBodyBytes});
+	const copy = new PassThrough({highWaterMark: maxInlineBodyBytes});
 	stream.pipe(copy);
 	stream.once('error', (err) => {
 		copy.destroy(err);
--- a/src/executor/backend-protocol.ts
+++ b/src/executor/backend-protocol.ts
@@ -4,7 +4,7 @@
 import {hasHeader} from './headers.js';
 
 /** What the head of a backend server's answer says about the request. */
-export enum AnswerVerdict {
+export enum AnswerKind {
 	/** The answer to the request. */
 	Answer = 'answer',
 	/** The backend server refused the request before any work. */
@@ -44,7 +44,7 @@
 	 * @param requestId - id of the request that was sent.
 	 * @returns what the answer is.
 	 */
-	judge(head: AnswerHead, requestId: string): AnswerVerdict;
+	classify(head: AnswerHead, requestId: string): AnswerKind;
 	/**
 	 * @param headers - headers of an answer.
 	 * @returns which start of the backend server answered; undefined where it does not tell.
@@ -68,9 +68,9 @@
 		return attempt.head.headers;
 	}
 
-	judge({status, headers}: AnswerHead): AnswerVerdict {
+	classify({status, headers}: AnswerHead): AnswerKind {
 		const isRefused = status === refusedStatus && hasHeader(headers, refusedBeforeWorkHeader);
-		return isRefused ? AnswerVerdict.NotRun : AnswerVerdict.Answer;
+		return isRefused ? AnswerKind.NotRun : AnswerKind.Answer;
 	}
 
 	readInstance(): string | undefined {
--- a/src/executor/executor.ts
+++ b/src/executor/executor.ts
@@ -36,25 +36,25 @@
 	 */
 	isHeld(fingerprint: string): boolean;
 	/** A request was answered, so it does not crash backend servers. */
-	noteAnswered(fingerprint: string): void;
+	recordAnswered(fingerprint: string): void;
 	/**
 	 * The backend server broke off calls that were in flight.
 	 * @param fingerprints - the requests that were in flight.
 	 */
-	noteBroken(fingerprints: readonly string[]): void;
+	recordBroken(fingerprints: readonly string[]): void;
 }
 
 /** What an executor is made of. */
-export interface ExecutorParts {
+export interface ExecutorDependencies {
 	readonly clock: Clock;
 	readonly metrics: Metrics;
 	readonly logger: Logger;
 	readonly protocol: BackendProtocol;
 	readonly crashWatch: CrashWatch;
 	/** The backend server takes no connections, or another one listens at its address. */
-	noteUnreachable(): void;
+	onBackendUnreachable(): void;
 	/** The load has changed so much that others should know. */
-	noteLoadChanged(): void;
+	onLoadChanged(): void;
 	/**
 	 * Asks the backend server how fast it works now, where it can tell.
 	 * @returns when it has told, or will not in time.
@@ -100,7 +100,7 @@
 	private askedAt = Number.NEGATIVE_INFINITY;
 	private warmUpSlowdown = 1;
 
-	constructor(private readonly parts: ExecutorParts) {
+	constructor(private readonly parts: ExecutorDependencies) {
 		this.admission = new Admission(parts.clock, this.limits);
 		parts.clock.repeat(expiryPeriod, () => {
 			this.ledger.expire(parts.clock.now());
@@ -108,7 +108,7 @@
 	}
 
 	/** Calls that run or wait here. */
-	get busy(): number {
+	get callCount(): number {
 		return this.admission.inFlight + this.admission.queued;
 	}
 
@@ -179,7 +179,7 @@
 	 * @param id - an attempt.
 	 * @returns what became of it; it is fenced if it has not run.
 	 */
-	askAndFence(id: AttemptId): AttemptState {
+	queryAndFence(id: AttemptId): AttemptState {
 		return this.ledger.queryAndFence(id, this.parts.clock.now());
 	}
 
@@ -208,7 +208,7 @@
 		this.speed.addReading(slowdown, now);
 		this.admission.dispatch();
 		if (Math.max(before / slowdown, slowdown / before) > notableChange) {
-			this.parts.noteLoadChanged();
+			this.parts.onLoadChanged();
 		}
 	}
 
@@ -218,7 +218,7 @@
 		if (result.end === AttemptEnd.Refused) {
 			const {reason} = result;
 			if (reason === RefusalReason.BackendUnreachable || reason === RefusalReason.BackendReplaced) {
-				this.parts.noteUnreachable();
+				this.parts.onBackendUnreachable();
 			}
 
 			this.ledger.markRefused(attempt.id);
@@ -262,7 +262,7 @@
 			customer: attempt.head.customer,
 			share: attempt.share,
 			deadline: attempt.deadline,
-			canRetryElsewhere: attempt.isBounceable,
+			canRetryElsewhere: attempt.canRetryElsewhere,
 			startDelay: () => this.holdTime(attempt),
 			start: () => {
 				const waited = this.parts.clock.now() - askedAt;
@@ -356,10 +356,10 @@
 			attempt,
 			{check: () => this.checkBeforeWrite(attempt)},
 			{
-				loadRead: (load) => {
+				onLoad: (load) => {
 					this.readSpeed(load.slowdown);
 				},
-				ended: (end) => {
+				onEnd: (end) => {
 					this.end(attempt, end);
 				},
 			},
@@ -390,7 +390,7 @@
 		const share = (inFlight + queued) / Math.max(1, slots);
 		if (this.isToldFull ? share <= freeShare : share >= 1) {
 			this.isToldFull = !this.isToldFull;
-			this.parts.noteLoadChanged();
+			this.parts.onLoadChanged();
 		}
 	}
 
@@ -420,9 +420,9 @@
 
 		if (isBroken) {
 			const fingerprints = [...this.inFlight.keys()].map((other) => other.head.fingerprint);
-			this.parts.crashWatch.noteBroken(fingerprints);
+			this.parts.crashWatch.recordBroken(fingerprints);
 		} else if (!isFailure) {
-			this.parts.crashWatch.noteAnswered(attempt.head.fingerprint);
+			this.parts.crashWatch.recordAnswered(attempt.head.fingerprint);
 		}
 
 		this.inFlight.delete(attempt);
--- a/src/executor/index.ts
+++ b/src/executor/index.ts
@@ -1,6 +1,10 @@
-export {Executor, type CrashWatch, type ExecutorParts} from './executor.js';
 export {
-	AnswerVerdict,
+	Executor,
+	type CrashWatch,
+	type ExecutorDependencies as ExecutorDependencies,
+} from './executor.js';
+export {
+	AnswerKind as AnswerKind,
 	TurmericBackendProtocol,
 	type AnswerHead,
 	type BackendLoad,
--- a/src/ingress/__tests__/unit/call-runner.test.ts
+++ b/src/ingress/__tests__/unit/call-runner.test.ts
@@ -7,7 +7,7 @@
 	Cancellation,
 	createRefused,
 	createUnknown,
-	createWholeBody,
+	createBufferedBody,
 	type Attempt,
 	type AttemptResult,
 	type Call,
@@ -77,7 +77,7 @@
 			clock,
 			gossip,
 			routing: new ExpectedWaitPolicy({clock, random, self: () => gossip.localMember}),
-			keeper: {inForce: index},
+			revisions: {inForce: index},
 		}),
 		budgetBursts: () => ({retries: 10, hedges: 10}),
 		instance: 'i',
@@ -103,8 +103,8 @@
 		index,
 		deadline: new Deadline(2000),
 		objective: new Deadline(2000),
-		objectiveSpan: 1000,
-		body: createWholeBody(new Uint8Array()),
+		objectiveDuration: 1000,
+		body: createBufferedBody(new Uint8Array()),
 		cancellation: new Cancellation(),
 	};
 }
@@ -113,7 +113,7 @@
 	end: AttemptEnd.Answered,
 	status: 200,
 	headers: [],
-	body: createWholeBody(new Uint8Array()),
+	body: createBufferedBody(new Uint8Array()),
 	load,
 };
 
@@ -199,7 +199,7 @@
 
 	it('waits at a busy executor when there is no other', async () => {
 		const runner = createRunner(1, (attempt) =>
-			attempt.isBounceable ? createRefused(RefusalReason.Busy, load) : answered,
+			attempt.canRetryElsewhere ? createRefused(RefusalReason.Busy, load) : answered,
 		);
 		const {result} = await runner.run(createCall(true));
 		expect(result.end).toBe(AttemptEnd.Answered);
--- a/src/ingress/__tests__/unit/hedge.test.ts
+++ b/src/ingress/__tests__/unit/hedge.test.ts
@@ -5,7 +5,7 @@
 	Cancellation,
 	createRefused,
 	createUnknown,
-	createWholeBody,
+	createBufferedBody,
 	type AttemptResult,
 } from '../../../exchange/index.js';
 import {withResolvers} from '../../../util/index.js';
@@ -21,7 +21,7 @@
 		end: AttemptEnd.Answered,
 		status,
 		headers: [],
-		body: createWholeBody(new Uint8Array()),
+		body: createBufferedBody(new Uint8Array()),
 		load: undefined,
 	};
 }
--- a/src/ingress/call-runner.ts
+++ b/src/ingress/call-runner.ts
@@ -20,7 +20,7 @@
 import {HedgeRace, type SentAttempt} from './hedge.js';
 
 /** What a call runner is made of. */
-export interface CallRunnerParts {
+export interface CallRunnerDependencies {
 	readonly clock: Clock;
 	readonly metrics: Metrics;
 	readonly logger: Logger;
@@ -94,7 +94,7 @@
 	private readonly watched = new Map<string, Set<Watched>>();
 	private sequence = 0;
 
-	constructor(private readonly parts: CallRunnerParts) {
+	constructor(private readonly parts: CallRunnerDependencies) {
 		this.budgets = new CallBudgets(() => parts.budgetBursts());
 	}
 
@@ -152,7 +152,7 @@
 	 * An executor has become slow: calls that wait for it may get a second attempt.
 	 * @param id - the executor.
 	 */
-	reconsider(id: string): void {
+	reconsiderHedges(id: string): void {
 		for (const watched of this.watched.get(id) ?? []) {
 			this.tryHedge(watched);
 		}
@@ -164,7 +164,7 @@
 		const roomIn = isRefused
 			? this.parts.placement.retryAfterHint({...this.query(call, progress), excluded: new Set()})
 			: undefined;
-		return {result, attempts, executor, roomIn};
+		return {result, attempts, executor, retryAfter: roomIn};
 	}
 
 	// "Not run" holds for the call only if it holds for each of its attempts.
@@ -200,7 +200,7 @@
 			priority: head.origin.priority,
 			isIdempotent: head.isIdempotent,
 			timeLeft: deadline.timeLeft(now),
-			objective: call.objectiveSpan,
+			objective: call.objectiveDuration,
 			objectiveLeft: objective.timeLeft(now),
 			requestBytes: body.bytes?.length ?? 0,
 			excluded: progress.tried,
@@ -339,7 +339,16 @@
 		const id: AttemptId = {instance: this.parts.instance, sequence: this.sequence};
 		const {head, deadline, objective, body, policy} = call;
 		const isBounceable = progress.bounces < maxBounces && this.bounces.trySpend();
-		return {id, head, share: policy.share, deadline, objective, isBounceable, body, cancellation};
+		return {
+			id,
+			head,
+			share: policy.share,
+			deadline,
+			objective,
+			canRetryElsewhere: isBounceable,
+			body,
+			cancellation,
+		};
 	}
 
 	private noteEnd(
--- a/src/ingress/caller-protocol.ts
+++ b/src/ingress/caller-protocol.ts
@@ -5,7 +5,7 @@
 import type {Call, CallEnd} from '../exchange/index.js';
 
 /** What a request asks for, before its body is read. */
-export interface CallTerms {
+export interface CallParameters {
 	readonly service: ServicePolicy;
 	readonly policy: CallPolicy;
 	readonly isIdempotent: boolean;
@@ -35,13 +35,13 @@
 	 * @returns what the request asks for.
 	 * @throws {@link RefusedRequestError} when it cannot become a call.
 	 */
-	readTerms(req: IncomingMessage, index: DeclarationIndex): CallTerms;
+	readParameters(req: IncomingMessage, index: DeclarationIndex): CallParameters;
 	/** @returns headers that go with a backend server's answer. */
 	answerHeaders(call: Call, end: CallEnd): HeaderList;
 	/** @returns headers of a refusal. */
 	refusalHeaders(notice: RefusalNotice): HeaderList;
 	/** @returns why a request was refused, with what the caller may conclude from its own headers. */
-	refine(req: IncomingMessage, reason: RefusalReason): RefusalReason;
+	refineReason(req: IncomingMessage, reason: RefusalReason): RefusalReason;
 }
 
 /** A request that cannot become a call. */
--- a/src/ingress/fingerprint.ts
+++ b/src/ingress/fingerprint.ts
@@ -4,7 +4,7 @@
 const radix = 36;
 
 /** The parts of a request by which equal requests are recognized. */
-export interface FingerprintParts {
+export interface FingerprintInput {
 	readonly service: string;
 	readonly customer: string;
 	readonly method: string;
@@ -17,7 +17,7 @@
  * @param parts - parts of a request.
  * @returns a hash that is the same for equal requests; a streamed body does not count.
  */
-export function fingerprint(parts: FingerprintParts): string {
+export function fingerprint(parts: FingerprintInput): string {
 	const {service, customer, method, path, key, body} = parts;
 	const content = body.bytes && body.bytes.length > 0 ? hashBytes(body.bytes) : '';
 	const text = [service, customer, method, path, key ?? '', content].join('\n');
--- a/src/ingress/hedge-timer.ts
+++ b/src/ingress/hedge-timer.ts
@@ -10,7 +10,7 @@
 type Window = {histogram: Histogram; count: number; delay: Millis | undefined};
 
 /** Tells after how long a call is slower than its siblings. */
-export class HedgeTimer {
+export class HedgeDelayEstimator {
 	private readonly windows = new Map<string, Window>();
 
 	/**
--- a/src/ingress/ingress.ts
+++ b/src/ingress/ingress.ts
@@ -25,14 +25,14 @@
 import {
 	RefusedRequestError,
 	type CallerProtocol,
-	type CallTerms,
+	type CallParameters,
 	type RefusalNotice,
 } from './caller-protocol.js';
 import {fingerprint} from './fingerprint.js';
 import {readRequestBody, RequestBodyError} from './request-body.js';
 
 /** What an ingress is made of. */
-export interface IngressParts {
+export interface IngressDependencies {
 	readonly clock: Clock;
 	readonly metrics: Metrics;
 	readonly logger: Logger;
@@ -59,7 +59,7 @@
 	private readonly calls = new Set<ServerResponse>();
 	private isDraining = false;
 
-	constructor(private readonly parts: IngressParts) {
+	constructor(private readonly parts: IngressDependencies) {
 		this.server = createServer(
 			{
 				maxHeaderSize: maxHeaderBytes,
@@ -178,7 +178,7 @@
 		index: DeclarationIndex,
 	): Promise<Call> {
 		const startedAt = this.parts.clock.now();
-		const terms = this.parts.protocol.readTerms(req, index);
+		const terms = this.parts.protocol.readParameters(req, index);
 		this.checkLength(req, index);
 		const body = await readRequestBody(req);
 		const head = createHead(req, terms, body);
@@ -200,7 +200,7 @@
 			index,
 			deadline: Deadline.in(startedAt, timeout),
 			objective: Deadline.in(startedAt, objective),
-			objectiveSpan: objective,
+			objectiveDuration: objective,
 			body,
 			cancellation,
 		};
@@ -222,7 +222,7 @@
 		}
 
 		const {reason} = result;
-		const retryAfter = end.roomIn ?? refusals[reason].retryAfter;
+		const retryAfter = end.retryAfter ?? refusals[reason].retryAfter;
 		return this.sendRefusal(res, {reason, retryAfter}, end);
 	}
 
@@ -278,7 +278,7 @@
 			executor: end.executor,
 			objectiveLeft: Math.round(call.objective.at - now),
 			timeLeft: Math.round(call.deadline.at - now),
-			roomIn: end.roomIn && Math.round(end.roomIn),
+			roomIn: end.retryAfter && Math.round(end.retryAfter),
 			revision: call.index.revision,
 		});
 	}
@@ -309,7 +309,7 @@
 		if (err instanceof RefusedRequestError && !res.headersSent) {
 			// What is left of the request is not read: the connection ends with the refusal.
 			res.shouldKeepAlive = req.complete;
-			const reason = protocol.refine(req, err.reason);
+			const reason = protocol.refineReason(req, err.reason);
 			logger.log(logEvents.requestRefused, {
 				host: req.headers.host,
 				path: req.url,
@@ -392,7 +392,7 @@
 	}
 }
 
-function createHead(req: IncomingMessage, terms: CallTerms, body: Body): RequestHead {
+function createHead(req: IncomingMessage, terms: CallParameters, body: Body): RequestHead {
 	const {policy, headers, isIdempotent, key, origin} = terms;
 	const {service, customer} = policy;
 	const method = req.method ?? 'GET';
--- a/src/ingress/nearest-first-placement.ts
+++ b/src/ingress/nearest-first-placement.ts
@@ -11,14 +11,14 @@
 	type Placement,
 	type PlacementQuery,
 } from '../routing/index.js';
-import {HedgeTimer} from './hedge-timer.js';
+import {HedgeDelayEstimator} from './hedge-timer.js';
 
 /** What a placement is made of. */
-export interface NearestFirstParts {
+export interface NearestFirstDependencies {
 	readonly clock: Clock;
 	readonly gossip: Gossip;
 	readonly routing: ExpectedWaitPolicy;
-	readonly keeper: Pick<RevisionTracker, 'inForce'>;
+	readonly revisions: Pick<RevisionTracker, 'inForce'>;
 }
 
 /** Bytes of head and framing of a call and its answer. */
@@ -31,9 +31,9 @@
  */
 export class NearestFirstPlacement implements Placement {
 	private readonly linkBudgets: RegionBuckets;
-	private readonly hedgeTimer = new HedgeTimer();
+	private readonly hedgeTimer = new HedgeDelayEstimator();
 
-	constructor(private readonly parts: NearestFirstParts) {
+	constructor(private readonly parts: NearestFirstDependencies) {
 		this.linkBudgets = new RegionBuckets(parts.clock);
 	}
 
@@ -98,7 +98,7 @@
 	}
 
 	private isOtherRegionAllowed(query: PlacementQuery): boolean {
-		return this.parts.keeper.inForce?.service(query.service)?.isOtherRegionAllowed ?? false;
+		return this.parts.revisions.inForce?.service(query.service)?.isOtherRegionAllowed ?? false;
 	}
 
 	private affordable(query: PlacementQuery, far: readonly Member[]): Member[] {
@@ -111,7 +111,7 @@
 
 	private linkBudget(member: Member): TokenBucket | undefined {
 		const {localMember: account, directory} = this.parts.gossip;
-		const link = this.parts.keeper.inForce?.link(account.region, member.region);
+		const link = this.parts.revisions.inForce?.link(account.region, member.region);
 		const nodes = directory.countInRegion(account.region);
 		return link && this.linkBudgets.bucket(member.region, link.callBytesPerSecond, nodes);
 	}
--- a/src/ingress/request-body.ts
+++ b/src/ingress/request-body.ts
@@ -1,12 +1,17 @@
 import type {IncomingMessage} from 'node:http';
-import {createStreamBody, createWholeBody, inlineBodyBytes, type Body} from '../exchange/index.js';
+import {
+	createStreamBody,
+	createBufferedBody,
+	maxInlineBodyBytes,
+	type Body,
+} from '../exchange/index.js';
 
 /** The caller broke off its request before its end. */
 export class RequestBodyError extends Error {
 	override name = 'RequestBodyError';
 }
 
-const emptyBody = createWholeBody(new Uint8Array());
+const emptyBody = createBufferedBody(new Uint8Array());
 
 /**
  * Takes the body of a request: a small one as a whole, so that the call can be tried again, and a
@@ -23,11 +28,11 @@
 		return emptyBody;
 	}
 
-	if (length === undefined || Number(length) > inlineBodyBytes) {
+	if (length === undefined || Number(length) > maxInlineBodyBytes) {
 		return createStreamBody(req, req.rawTrailers);
 	}
 
-	return createWholeBody(await collect(req, Number(length)));
+	return createBufferedBody(await collect(req, Number(length)));
 }
 
 async function collect(req: IncomingMessage, length: number): Promise<Uint8Array> {
--- a/src/ingress/turmeric-caller-protocol.ts
+++ b/src/ingress/turmeric-caller-protocol.ts
@@ -7,7 +7,7 @@
 import {
 	RefusedRequestError,
 	type CallerProtocol,
-	type CallTerms,
+	type CallParameters,
 	type RefusalNotice,
 } from './caller-protocol.js';
 import {
@@ -30,7 +30,7 @@
 
 	constructor(private readonly instance: string) {}
 
-	readTerms(req: IncomingMessage, index: DeclarationIndex): CallTerms {
+	readParameters(req: IncomingMessage, index: DeclarationIndex): CallParameters {
 		const serviceName = readService(req);
 		const service = index.service(serviceName);
 		if (!service) {
@@ -84,7 +84,7 @@
 	}
 
 	// With a key, a refusal before its home was asked says nothing of earlier copies.
-	refine(req: IncomingMessage, reason: RefusalReason): RefusalReason {
+	refineReason(req: IncomingMessage, reason: RefusalReason): RefusalReason {
 		const hasKey = readHeader(req, keyHeader) !== undefined;
 		return hasKey && reason !== RefusalReason.BadRequest ? RefusalReason.KeyNotChecked : reason;
 	}
--- a/src/link/incoming-attempt.ts
+++ b/src/link/incoming-attempt.ts
@@ -4,7 +4,7 @@
 	AttemptEnd,
 	Cancellation,
 	createStreamBody,
-	createWholeBody,
+	createBufferedBody,
 	type AnsweredAttempt,
 	type Attempt,
 	type AttemptResult,
@@ -58,7 +58,7 @@
 			id: {instance, sequence},
 			head: {service, customer, method, path, headers, isIdempotent, key, origin, fingerprint},
 			share,
-			isBounceable,
+			canRetryElsewhere: isBounceable,
 			deadline: Deadline.in(now, timeLeft - staleness),
 			objective: Deadline.in(now, objectiveLeft - staleness),
 			body: this.body(),
@@ -131,7 +131,7 @@
 			return createStreamBody(this.receiver, this.receiver.trailers);
 		}
 
-		return createWholeBody(this.frame.body ?? new Uint8Array());
+		return createBufferedBody(this.frame.body ?? new Uint8Array());
 	}
 
 	private sendResult(result: AttemptResult): void {
--- a/src/link/outgoing-attempt.ts
+++ b/src/link/outgoing-attempt.ts
@@ -5,7 +5,7 @@
 	createRefused,
 	createStreamBody,
 	createUnknown,
-	createWholeBody,
+	createBufferedBody,
 	type Attempt,
 	type AttemptResult,
 } from '../exchange/index.js';
@@ -70,7 +70,7 @@
 	 * @param objectiveLeft - how long an answer is still in time, in ms.
 	 */
 	open(target: OpenTarget, timeLeft: number, objectiveLeft: number): void {
-		const {head, id, share, isBounceable, body} = this.attempt;
+		const {head, id, share, canRetryElsewhere: isBounceable, body} = this.attempt;
 		this.link.send({
 			type: FrameType.Open,
 			stream: this.stream,
@@ -178,7 +178,7 @@
 
 		const {status, headers, load, body, trailers, isDelimited} = frame;
 		if (body) {
-			const whole = createWholeBody(body, trailers, isDelimited);
+			const whole = createBufferedBody(body, trailers, isDelimited);
 			this.settle({end: AttemptEnd.Answered, status, headers, load, body: whole});
 			this.end();
 			return true;
--- a/src/node/__tests__/unit/backend-keeper.test.ts
+++ b/src/node/__tests__/unit/backend-keeper.test.ts
@@ -19,11 +19,11 @@
 		protocol: new TurmericBackendProtocol(),
 		crashWatch: {
 			isHeld: () => false,
-			noteAnswered: () => undefined,
-			noteBroken: () => undefined,
+			recordAnswered: () => undefined,
+			recordBroken: () => undefined,
 		},
-		noteUnreachable: () => undefined,
-		noteLoadChanged: () => undefined,
+		onBackendUnreachable: () => undefined,
+		onLoadChanged: () => undefined,
 		probeSpeed: async () => undefined,
 	});
 	const keeper = new BackendKeeper({
--- a/src/node/crash-watcher.ts
+++ b/src/node/crash-watcher.ts
@@ -37,11 +37,11 @@
 		return this.guard.isHeld(fingerprint, this.parts.clock.now());
 	}
 
-	noteAnswered(fingerprint: string): void {
+	recordAnswered(fingerprint: string): void {
 		this.guard.recordAnswered(fingerprint, this.parts.clock.now());
 	}
 
-	noteBroken(fingerprints: readonly string[]): void {
+	recordBroken(fingerprints: readonly string[]): void {
 		const now = this.parts.clock.now();
 		const endpoint = this.parts.endpoint();
 		if (now - this.lastCrash < crashWindow || !endpoint) {
--- a/src/wiring/node-core.ts
+++ b/src/wiring/node-core.ts
@@ -255,11 +255,11 @@
 			logger: this.logger,
 			protocol: this.hooks.backendProtocol,
 			crashWatch: this.crashes,
-			noteUnreachable: () => {
+			onBackendUnreachable: () => {
 				this.backend.noteUnreachable();
 			},
 			probeSpeed: async () => this.hooks.probeSpeed(),
-			noteLoadChanged: () => {
+			onLoadChanged: () => {
 				this.hooks.loadChanged();
 			},
 		});
@@ -280,7 +280,7 @@
 				staleness: () => this.pauses.staleness(),
 				runnerFor: (target) =>
 					target === OpenTarget.Executor ? this.executor : this.hooks.homeRunner,
-				askAndFence: (peer, sequence) => this.executor.askAndFence({instance: peer, sequence}),
+				askAndFence: (peer, sequence) => this.executor.queryAndFence({instance: peer, sequence}),
 				contentOf: (hash) => this.keeper.contentOf(hash),
 				takeHandover: (from, records) => {
 					this.hooks.takeHandover(from, records);
--- a/src/wiring/routed-node.ts
+++ b/src/wiring/routed-node.ts
@@ -197,7 +197,7 @@
 		lifecycle.send({type: NodeEvent.StopAsked});
 		this.logger.log(logEvents.nodeDraining, {
 			inFlight: this.ingress.inFlight,
-			running: executor.busy,
+			running: executor.callCount,
 		});
 		this.ingress.drain();
 		await pause(clock, lingerTime - handBackTime);
@@ -207,10 +207,10 @@
 		gossip.flush();
 		await pause(clock, handBackTime);
 		// The backend server's own calls come in here as long as it works.
-		await this.core.waitUntilIdle(() => executor.busy, until);
+		await this.core.waitUntilIdle(() => executor.callCount, until);
 		this.ingress.close();
 		const isClean = await this.core.waitUntilIdle(
-			() => this.ingress.inFlight + executor.busy + hub.callsInFlight,
+			() => this.ingress.inFlight + executor.callCount + hub.callsInFlight,
 			until,
 		);
 		gossip.updateLocalMember({phase: MemberPhase.Left});
@@ -253,7 +253,7 @@
 			hearRumor: () => undefined,
 			peerLoad: (id, load) => {
 				this.placement?.recordLoad(id, load);
-				this.core.runner.reconsider(id);
+				this.core.runner.reconsiderHedges(id);
 			},
 			takeHandover: () => undefined,
 			homeRunner: {run: async () => createUnknown(RefusalReason.KeyNotChecked)},
@@ -263,7 +263,7 @@
 	private noteOwnLoad(): void {
 		const {id, executor, runner} = this.core;
 		this.placement?.recordLoad(id, executor.report());
-		runner.reconsider(id);
+		runner.reconsiderHedges(id);
 	}
 
 	private createPlacement({clock, gossip, random}: NodeCore): ObjectivePlacement {
--- a/src/wiring/turmeric-node.ts
+++ b/src/wiring/turmeric-node.ts
@@ -2,9 +2,9 @@
 	ClaimSweeper,
 	ClaimWriter,
 	KeyedCalls,
-	KeyHomes,
+	KeyOwners,
 	sweepPeriod,
-	type KeyHome,
+	type KeyOwner,
 } from '../claims/index.js';
 import {second, type Clock, type Millis} from '../clock/index.js';
 import {DeclarationStore, RevisionAgent} from '../control/index.js';
@@ -38,14 +38,14 @@
 export class TurmericNode {
 	readonly core: NodeCore;
 	readonly keyedCalls: KeyedCalls;
-	readonly home: KeyHome;
+	readonly home: KeyOwner;
 	private readonly store: GuardedStore | undefined;
 	private readonly storeClient: NodeStore | undefined;
 	private readonly revisions: RevisionAgent;
 	private readonly ingress: Ingress;
 	private readonly operators = new OperatorServer();
 	private readonly probe: BackendProbe;
-	private readonly homes: KeyHomes;
+	private readonly homes: KeyOwners;
 
 	constructor(
 		private readonly settings: NodeSettings,
@@ -77,7 +77,13 @@
 			hub,
 			store: this.store && new DeclarationStore(this.store),
 		});
-		this.homes = new KeyHomes({self: this.home, gossip, hub, keeper, store: this.store});
+		this.homes = new KeyOwners({
+			self: this.home,
+			gossip,
+			hub,
+			revisions: keeper,
+			store: this.store,
+		});
 		this.keyedCalls = this.createKeyedCalls();
 		this.ingress = new Ingress({
 			clock,
@@ -138,7 +144,7 @@
 		await pause(this.clock, lingerTime);
 		this.ingress.close();
 		const isClean = await this.core.waitUntilIdle(
-			() => this.ingress.inFlight + executor.busy + hub.callsInFlight,
+			() => this.ingress.inFlight + executor.callCount + hub.callsInFlight,
 			this.clock.now() + this.settings.stopTimeout,
 		);
 		if (this.keyedCalls.size > 0) {
@@ -161,7 +167,7 @@
 			isRestart: false,
 			createPlacement({clock, random, gossip, keeper}) {
 				const routing = new ExpectedWaitPolicy({clock, random, self: () => gossip.localMember});
-				return new NearestFirstPlacement({clock, gossip, routing, keeper});
+				return new NearestFirstPlacement({clock, gossip, routing, revisions: keeper});
 			},
 			budgetBursts: () => budgetBursts,
 			// The product's own backend servers don't tell their speed.
@@ -174,14 +180,14 @@
 				this.revisions.hearHeld(held);
 			},
 			hearRumor: (rumor) => {
-				this.homes.hear(rumor);
+				this.homes.handleRumor(rumor);
 			},
 			peerLoad: () => undefined,
 			takeHandover: (_from, records) => {
 				this.keyedCalls.importRecords(records);
 			},
 			homeRunner: {
-				run: async (attempt) => this.keyedCalls.runAttempt(attempt, this.homes.callOf(attempt)),
+				run: async (attempt) => this.keyedCalls.runAttempt(attempt, this.homes.createCall(attempt)),
 			},
 		};
 	}
@@ -199,8 +205,8 @@
 			self: home,
 			claims: store && new ClaimWriter({clock, store, self: home}),
 			runCall: async (call) => this.core.runner.run(call),
-			sendHome: async (to, call) => this.homes.send(to, call),
-			heirOf: async (from) => this.homes.heirOf(from),
+			sendToOwner: async (to, call) => this.homes.send(to, call),
+			findSuccessor: async (from) => this.homes.findSuccessor(from),
 		});
 	}
 
