--- a/src/declaration/render.ts
+++ b/src/declaration/render.ts
@@ -48,7 +48,7 @@
 			reader.report('name', `"${customer}" is not a name`, 'lower-case letters, digits and "-"');
 		}
 
-		reader.finish();
+		reader.reportUnknownKeys();
 		for (const section of document.sections.values()) {
 			const match = servicePattern.exec(section.name);
 			if (match) {
@@ -132,7 +132,7 @@
 			controlBytesPerSecond: bytes('control-bytes-per-second'),
 			callBytesPerSecond: bytes('call-bytes-per-second'),
 		});
-		reader.finish();
+		reader.reportUnknownKeys();
 	}
 
 	return links;
@@ -152,7 +152,7 @@
 	reportUnknownSections(document, isKnown, findings);
 	const reader = new SectionReader(document, 'deployment', findings);
 	const deployment = reader.text('name');
-	reader.finish();
+	reader.reportUnknownKeys();
 	const links = readLinks(document, findings);
 	for (const source of files.templates) {
 		renderer.addTemplate(source);
--- a/src/declaration/template.ts
+++ b/src/declaration/template.ts
@@ -38,7 +38,7 @@
 	reportUnknownSections(document, (name) => sections.has(name), findings);
 	const reader = new SectionReader(document, 'template', findings);
 	const kind = reader.text('kind');
-	reader.finish();
+	reader.reportUnknownKeys();
 	const parameters = new Map<string, string | undefined>();
 	for (const [name, entry] of document.sections.get('parameters')?.entries ?? []) {
 		parameters.set(name, entry.value === '' ? undefined : entry.value);
@@ -80,8 +80,8 @@
 		service: readServicePolicy(service, target.service, template.kind),
 		call: readCallPolicy(call, target),
 	};
-	service.finish();
-	call.finish();
+	service.reportUnknownKeys();
+	call.reportUnknownKeys();
 	return rendered;
 }
 
--- a/src/ini/section-reader.ts
+++ b/src/ini/section-reader.ts
@@ -152,7 +152,7 @@
 	}
 
 	/** Reports every key that nothing has read. */
-	finish(): void {
+	reportUnknownKeys(): void {
 		for (const key of this.entries.keys()) {
 			if (!this.known.has(key)) {
 				this.report(key, 'is not known', `known keys: ${[...this.known].join(', ')}`);
--- a/src/node/__tests__/unit/backend-keeper.test.ts
+++ b/src/node/__tests__/unit/backend-keeper.test.ts
@@ -7,7 +7,7 @@
 import {createTestGossip} from '../../../membership/__tests__/test-gossip.js';
 import {Metrics, silentLogger} from '../../../telemetry/index.js';
 import {AnnouncedState, type Announcement} from '../../announcement.js';
-import {BackendKeeper} from '../../backend-keeper.js';
+import {BackendMonitor} from '../../backend-keeper.js';
 
 function createWorld(isRestart = false) {
 	const clock = new ManualClock(1000);
@@ -26,13 +26,13 @@
 		onLoadChanged: () => undefined,
 		probeSpeed: async () => undefined,
 	});
-	const keeper = new BackendKeeper({
+	const keeper = new BackendMonitor({
 		clock,
 		logger: silentLogger,
 		executor,
 		gossip,
-		keeper: new RevisionTracker(),
-		silenceLimit: 9000,
+		revisions: new RevisionTracker(),
+		announcementTimeout: 9000,
 		isRestart,
 	});
 	return {clock, gossip, executor, keeper};
@@ -64,101 +64,101 @@
 describe('BackendKeeper', () => {
 	it('takes no late announcement for a backend server that left before the node was restarted', () => {
 		const {keeper, executor} = createWorld(true);
-		keeper.announce(announce(5, 2));
+		keeper.handleAnnouncement(announce(5, 2));
 		expect(keeper.state).toBe(BackendState.Absent);
 		expect(executor.service).toBeUndefined();
-		keeper.announce(announce(5, 1));
-		keeper.announce(announce(5, 2));
+		keeper.handleAnnouncement(announce(5, 1));
+		keeper.handleAnnouncement(announce(5, 2));
 		expect(keeper.state).toBe(BackendState.Absent);
-		keeper.announce(announce(5, 4, draining));
+		keeper.handleAnnouncement(announce(5, 4, draining));
 		expect(keeper.state).toBe(BackendState.Draining);
 	});
 
 	it('takes the backend server back after a restart when a later announcement or its health confirms it', () => {
 		const told = createWorld(true);
-		told.keeper.announce(announce(5, 2));
-		told.keeper.announce(announce(5, 3));
+		told.keeper.handleAnnouncement(announce(5, 2));
+		told.keeper.handleAnnouncement(announce(5, 3));
 		expect(told.executor.service).toBe('s');
 		const asked = createWorld(true);
-		asked.keeper.announce(announce(5, 2));
-		asked.keeper.announce(announce(5, 0, {startedAt: undefined, sequence: undefined}));
+		asked.keeper.handleAnnouncement(announce(5, 2));
+		asked.keeper.handleAnnouncement(announce(5, 0, {startedAt: undefined, sequence: undefined}));
 		expect(asked.executor.service).toBe('s');
-		asked.keeper.announce(announce(5, 3));
+		asked.keeper.handleAnnouncement(announce(5, 3));
 		expect(asked.keeper.state).not.toBe(BackendState.Absent);
 	});
 
 	it('keeps the backend server that its health path told of against a late one of another start', () => {
 		const {keeper} = createWorld(true);
-		keeper.announce(announce(9, 0, {startedAt: undefined, sequence: undefined}));
-		keeper.announce(announce(5, 7));
+		keeper.handleAnnouncement(announce(9, 0, {startedAt: undefined, sequence: undefined}));
+		keeper.handleAnnouncement(announce(5, 7));
 		expect(keeper.current?.instance).toBe('i-9');
-		keeper.announce(announce(9, 1));
+		keeper.handleAnnouncement(announce(9, 1));
 		expect(keeper.current?.startedAt).toBe(9);
 	});
 
 	it('stays draining when an older announcement comes late', () => {
 		const {keeper, gossip} = createWorld();
-		keeper.announce(announce(5, 1));
-		keeper.announce(announce(5, 3, draining));
-		keeper.announce(announce(5, 2));
+		keeper.handleAnnouncement(announce(5, 1));
+		keeper.handleAnnouncement(announce(5, 3, draining));
+		keeper.handleAnnouncement(announce(5, 2));
 		expect(keeper.state).toBe(BackendState.Draining);
 		expect(gossip.localMember.phase).toBe(MemberPhase.Draining);
 	});
 
 	it('stays draining when the same start says again that it is ready, also after a silence', () => {
 		const {keeper, clock} = createWorld();
-		keeper.announce(announce(5, 1));
-		keeper.announce(announce(5, 2, draining));
-		keeper.announce(announce(5, 3));
+		keeper.handleAnnouncement(announce(5, 1));
+		keeper.handleAnnouncement(announce(5, 2, draining));
+		keeper.handleAnnouncement(announce(5, 3));
 		expect(keeper.state).toBe(BackendState.Draining);
 		clock.advance(10_000);
 		expect(keeper.state).toBe(BackendState.Absent);
-		keeper.announce(announce(5, 4));
+		keeper.handleAnnouncement(announce(5, 4));
 		expect(keeper.state).toBe(BackendState.Draining);
 	});
 
 	it('does not take a late announcement of an earlier start for the server that is there', () => {
 		const {keeper, executor} = createWorld();
-		keeper.announce(announce(9, 1, {service: 'new'}));
-		keeper.announce(announce(5, 7, {service: 'old'}));
+		keeper.handleAnnouncement(announce(9, 1, {service: 'new'}));
+		keeper.handleAnnouncement(announce(5, 7, {service: 'old'}));
 		expect(executor.service).toBe('new');
-		keeper.announce(announce(5, 8, {service: 'old', ...draining}));
+		keeper.handleAnnouncement(announce(5, 8, {service: 'old', ...draining}));
 		expect(keeper.state).not.toBe(BackendState.Draining);
 	});
 
 	it('takes a new start under the same id whose numbers begin anew', () => {
 		const {keeper, gossip} = createWorld();
-		keeper.announce(announce(5, 9, {instance: 'i-same'}));
-		keeper.announce(announce(5, 10, {instance: 'i-same', ...draining}));
-		keeper.announce(announce(8, 0, {instance: 'i-same'}));
+		keeper.handleAnnouncement(announce(5, 9, {instance: 'i-same'}));
+		keeper.handleAnnouncement(announce(5, 10, {instance: 'i-same', ...draining}));
+		keeper.handleAnnouncement(announce(8, 0, {instance: 'i-same'}));
 		expect(gossip.localMember.phase).toBe(MemberPhase.Serving);
 	});
 
 	it('drains a backend server that deregisters first, and ignores what it says afterwards', () => {
 		const {keeper, gossip} = createWorld();
-		keeper.announce(announce(5, 1));
-		keeper.depart({instance: 'i-5', startedAt: 5});
+		keeper.handleAnnouncement(announce(5, 1));
+		keeper.handleDeparture({instance: 'i-5', startedAt: 5});
 		expect(keeper.state).toBe(BackendState.Draining);
-		keeper.announce(announce(5, 2));
+		keeper.handleAnnouncement(announce(5, 2));
 		expect(keeper.state).toBe(BackendState.Draining);
-		keeper.announce(announce(6, 0));
+		keeper.handleAnnouncement(announce(6, 0));
 		expect(gossip.localMember.phase).toBe(MemberPhase.Serving);
 	});
 
 	it('drains a backend server whose departure does not tell its start', () => {
 		const {keeper} = createWorld();
-		keeper.announce(announce(5, 1));
-		keeper.depart({instance: 'i-5', startedAt: undefined});
+		keeper.handleAnnouncement(announce(5, 1));
+		keeper.handleDeparture({instance: 'i-5', startedAt: undefined});
 		expect(keeper.state).toBe(BackendState.Draining);
-		keeper.announce(announce(5, 2));
+		keeper.handleAnnouncement(announce(5, 2));
 		expect(keeper.state).toBe(BackendState.Draining);
 	});
 
 	it('is not moved by the late deregistration of an earlier start', () => {
 		const {keeper, gossip} = createWorld();
-		keeper.announce(announce(5, 1));
-		keeper.announce(announce(8, 1));
-		keeper.depart({instance: 'i-5', startedAt: 5});
+		keeper.handleAnnouncement(announce(5, 1));
+		keeper.handleAnnouncement(announce(8, 1));
+		keeper.handleDeparture({instance: 'i-5', startedAt: 5});
 		expect(gossip.localMember.phase).toBe(MemberPhase.Serving);
 	});
 });
--- a/src/node/__tests__/unit/backend-probe.test.ts
+++ b/src/node/__tests__/unit/backend-probe.test.ts
@@ -1,7 +1,7 @@
 import {describe, expect, it} from 'vitest';
 import {crossCheckRate, isProbeDue} from '../../backend-probe.js';
 
-const rate = {period: 100, speedAge: 200, idleAfter: 1000, budget: 150};
+const rate = {period: 100, maxSpeedAge: 200, idleTimeout: 1000, defaultBudget: 150};
 
 describe('isProbeDue', () => {
 	it('leaves out what answers tell for nothing', () => {
--- a/src/node/backend-finder.ts
+++ b/src/node/backend-finder.ts
@@ -5,15 +5,15 @@
 import {formatEndpoint, type Endpoint} from '../settings/index.js';
 import {logEvents, type Logger} from '../telemetry/index.js';
 import {AnnouncedState} from './announcement.js';
-import type {BackendKeeper} from './backend-keeper.js';
+import type {BackendMonitor} from './backend-keeper.js';
 import {toHeaderList} from './header-list.js';
 
 /** What a finder is made of. */
-export interface BackendFinderParts {
+export interface BackendFinderDependencies {
 	readonly clock: Clock;
 	readonly logger: Logger;
-	readonly keeper: RevisionTracker;
-	readonly backend: BackendKeeper;
+	readonly revisions: RevisionTracker;
+	readonly backend: BackendMonitor;
 	readonly protocol: BackendProtocol;
 	/** Where the backend server listens by the settings. */
 	readonly endpoint: Endpoint;
@@ -34,7 +34,7 @@
 export class BackendFinder {
 	private readonly agent = new Agent({connections: 1});
 
-	constructor(private readonly parts: BackendFinderParts) {}
+	constructor(private readonly parts: BackendFinderDependencies) {}
 
 	/** Starts looking, until the backend server is there or time is up. */
 	start(): void {
@@ -53,7 +53,7 @@
 	}
 
 	private async ask(): Promise<void> {
-		const {keeper, service, endpoint, backend, protocol, logger} = this.parts;
+		const {revisions: keeper, service, endpoint, backend, protocol, logger} = this.parts;
 		const path = keeper.inForce?.service(service)?.healthPath;
 		if (path === undefined || backend.hasAnnounced) {
 			return;
@@ -76,7 +76,7 @@
 
 			if (!backend.hasAnnounced) {
 				logger.log(logEvents.backendFound, {instance, service, slots});
-				backend.announce({
+				backend.handleAnnouncement({
 					service,
 					...endpoint,
 					slots,
--- a/src/node/backend-keeper.ts
+++ b/src/node/backend-keeper.ts
@@ -8,14 +8,14 @@
 import {AnnouncedState, type Announcement, type Departure} from './announcement.js';
 
 /** What a backend keeper is made of. */
-export interface BackendKeeperParts {
+export interface BackendMonitorDependencies {
 	readonly clock: Clock;
 	readonly logger: Logger;
 	readonly executor: Executor;
 	readonly gossip: Gossip;
-	readonly keeper: RevisionTracker;
+	readonly revisions: RevisionTracker;
 	/** A backend server that has not announced itself for so long is taken for gone, in ms. */
-	readonly silenceLimit?: Millis;
+	readonly announcementTimeout?: Millis;
 	/** Whether this process took the place of one that may have known more of the backend server. */
 	readonly isRestart: boolean;
 }
@@ -30,7 +30,7 @@
 const defaultWarmUp: Millis = 5 * second;
 
 /** Follows the lifecycle of the backend server beside this node. */
-export class BackendKeeper {
+export class BackendMonitor {
 	private readonly lifecycle = createActor(backendMachine).start();
 	private announcement: Announcement | undefined;
 	/** The start of the backend server that last said that it drains. */
@@ -43,7 +43,7 @@
 	/** Says that it serves, but may have said so long ago. */
 	private unconfirmed: Announcement | undefined;
 
-	constructor(private readonly parts: BackendKeeperParts) {
+	constructor(private readonly parts: BackendMonitorDependencies) {
 		parts.clock.repeat(watchPeriod, () => {
 			this.watch();
 		});
@@ -72,7 +72,7 @@
 	 * The backend server has announced itself.
 	 * @param announcement - what it says.
 	 */
-	announce(announcement: Announcement): void {
+	handleAnnouncement(announcement: Announcement): void {
 		if (this.isNodeDraining) {
 			return;
 		}
@@ -116,7 +116,7 @@
 	 * The backend server has said that it leaves.
 	 * @param departure - which start of it.
 	 */
-	depart(departure: Departure): void {
+	handleDeparture(departure: Departure): void {
 		this.departed = departure;
 		const {instance, startedAt} = departure;
 		this.parts.logger.log(logEvents.backendDeparted, {instance, startedAt});
@@ -132,7 +132,7 @@
 	}
 
 	/** The backend server refuses connections: it is gone, whatever it announced last. */
-	noteUnreachable(): void {
+	markUnreachable(): void {
 		if (this.state !== BackendState.Absent) {
 			this.detach();
 		}
@@ -184,7 +184,7 @@
 
 	private attach(announcement: Announcement, isAbsent: boolean): void {
 		const {address, port, service, instance} = announcement;
-		const policy = this.parts.keeper.inForce?.service(service);
+		const policy = this.parts.revisions.inForce?.service(service);
 		const connections = announcement.connections ?? policy?.connections ?? defaultConnections;
 		const {executor, logger, clock} = this.parts;
 		this.startedAt = clock.now();
@@ -218,7 +218,7 @@
 	}
 
 	private watch(): void {
-		const limit = this.parts.silenceLimit ?? defaultSilenceLimit;
+		const limit = this.parts.announcementTimeout ?? defaultSilenceLimit;
 		const isSilent = this.parts.clock.now() - this.announcedAt > limit;
 		if (isSilent && this.state !== BackendState.Absent && !this.isNodeDraining) {
 			this.detach();
@@ -233,7 +233,7 @@
 			return;
 		}
 
-		const policy = this.parts.keeper.inForce?.service(announcement.service);
+		const policy = this.parts.revisions.inForce?.service(announcement.service);
 		const age = this.parts.clock.now() - this.startedAt;
 		const warmUp = policy?.warmUp ?? defaultWarmUp;
 		const connections = announcement.connections ?? policy?.connections ?? announcement.slots;
--- a/src/node/backend-probe.ts
+++ b/src/node/backend-probe.ts
@@ -6,7 +6,7 @@
 import {formatEndpoint} from '../settings/index.js';
 import type {Metrics} from '../telemetry/index.js';
 import {pause} from '../util/index.js';
-import type {BackendKeeper} from './backend-keeper.js';
+import type {BackendMonitor} from './backend-keeper.js';
 import {toHeaderList} from './header-list.js';
 
 /** How often and how much a node probes. */
@@ -14,11 +14,11 @@
 	/** Time between two looks whether a probe is due. */
 	readonly period: Millis;
 	/** Age from which on the known speed is read anew; probes are due always where undefined. */
-	readonly speedAge: Millis | undefined;
+	readonly maxSpeedAge: Millis | undefined;
 	/** How long after the last call the speed is still kept fresh; a call asks for it anyway. */
-	readonly idleAfter: Millis;
+	readonly idleTimeout: Millis;
 	/** Time that probes may take at the backend server where nothing is declared, in ms a second. */
-	readonly budget: Millis;
+	readonly defaultBudget: Millis;
 }
 
 /** What a probe needs to know of the executor, and tells it. */
@@ -34,11 +34,11 @@
 }
 
 /** What a probe is made of. */
-export interface BackendProbeParts {
+export interface BackendProbeDependencies {
 	readonly clock: Clock;
 	readonly metrics: Metrics;
-	readonly backend: BackendKeeper;
-	readonly keeper: RevisionTracker;
+	readonly backend: BackendMonitor;
+	readonly revisions: RevisionTracker;
 	readonly protocol: BackendProtocol;
 	readonly rate: ProbeRate;
 	readonly executor: ProbedExecutor;
@@ -54,9 +54,9 @@
 /** A cross-check of the product's own announcements. */
 export const crossCheckRate: ProbeRate = {
 	period: 2 * second,
-	speedAge: undefined,
-	idleAfter: Number.POSITIVE_INFINITY,
-	budget: 6,
+	maxSpeedAge: undefined,
+	idleTimeout: Number.POSITIVE_INFINITY,
+	defaultBudget: 6,
 };
 
 /**
@@ -65,7 +65,7 @@
  * @returns whether a probe is worth its cost now.
  */
 export function isProbeDue(
-	{speedAge, idleAfter}: ProbeRate,
+	{maxSpeedAge: speedAge, idleTimeout: idleAfter}: ProbeRate,
 	executor: Pick<ProbedExecutor, 'speedAge' | 'idleTime'>,
 ): boolean {
 	const isOld = speedAge === undefined || executor.speedAge >= speedAge;
@@ -85,8 +85,8 @@
 	/** Until then the backend server is not asked by calls, as it did not tell its speed. */
 	private muteUntil: Millis = 0;
 
-	constructor(private readonly parts: BackendProbeParts) {
-		this.budget = new TokenBucket(parts.clock, parts.rate.budget, budgetDepth);
+	constructor(private readonly parts: BackendProbeDependencies) {
+		this.budget = new TokenBucket(parts.clock, parts.rate.defaultBudget, budgetDepth);
 	}
 
 	/** Starts probing; where only calls need the speed, the first of them starts it. */
@@ -118,10 +118,10 @@
 		}
 
 		this.isLooking = true;
-		const untilDue = rate.speedAge === undefined ? 0 : rate.speedAge - executor.speedAge;
+		const untilDue = rate.maxSpeedAge === undefined ? 0 : rate.maxSpeedAge - executor.speedAge;
 		clock.after(Math.max(rate.period, untilDue), () => {
 			this.isLooking = false;
-			if (executor.idleTime > rate.idleAfter) {
+			if (executor.idleTime > rate.idleTimeout) {
 				return;
 			}
 
@@ -134,7 +134,7 @@
 	}
 
 	private async probe(): Promise<void> {
-		const {backend, clock, keeper, metrics, rate, protocol, executor} = this.parts;
+		const {backend, clock, revisions: keeper, metrics, rate, protocol, executor} = this.parts;
 		const target = backend.current;
 		const policy = target && keeper.inForce?.service(target.service);
 		const path = target?.healthPath === '' ? policy?.healthPath : target?.healthPath;
@@ -142,7 +142,7 @@
 			return;
 		}
 
-		this.budget.setRate(policy && policy.probeBudget > 0 ? policy.probeBudget : rate.budget);
+		this.budget.setRate(policy && policy.probeBudget > 0 ? policy.probeBudget : rate.defaultBudget);
 		if (this.budget.level <= 0) {
 			return;
 		}
@@ -165,7 +165,7 @@
 		} catch (err) {
 			this.muteUntil = clock.now() + muteTime;
 			if (isRefused(err)) {
-				backend.noteUnreachable();
+				backend.markUnreachable();
 			}
 		} finally {
 			const spent = clock.now() - startedAt;
--- a/src/node/crash-watcher.ts
+++ b/src/node/crash-watcher.ts
@@ -7,7 +7,7 @@
 import {logEvents, type Logger} from '../telemetry/index.js';
 
 /** What a crash watcher is made of. */
-export interface CrashWatcherParts {
+export interface CrashWatcherDependencies {
 	readonly clock: Clock;
 	readonly logger: Logger;
 	readonly gossip: Gossip;
@@ -16,7 +16,7 @@
 	/** @returns where the backend server listens. */
 	endpoint(): Endpoint | undefined;
 	/** The backend server takes no connections. */
-	noteUnreachable(): void;
+	markUnreachable(): void;
 }
 
 /** Calls that break within this time belong to one crash. */
@@ -31,7 +31,7 @@
 	private crashes = 0;
 	private lastCrash = Number.NEGATIVE_INFINITY;
 
-	constructor(private readonly parts: CrashWatcherParts) {}
+	constructor(private readonly parts: CrashWatcherDependencies) {}
 
 	isHeld(fingerprint: string): boolean {
 		return this.guard.isHeld(fingerprint, this.parts.clock.now());
@@ -59,7 +59,7 @@
 	 * Hears of a crash or of a lifted hold.
 	 * @param rumor - the news.
 	 */
-	hear(rumor: Rumor): void {
+	handleRumor(rumor: Rumor): void {
 		if (rumor.kind === RumorKind.Crash) {
 			const report = {crashId: rumor.id, fingerprints: rumor.fields};
 			for (const fingerprint of this.guard.recordCrash(report, this.parts.clock.now())) {
@@ -105,7 +105,7 @@
 	private tell(suspects: readonly string[]): void {
 		this.crashes += 1;
 		this.parts.logger.log(logEvents.backendCrashed, {suspects: suspects.length});
-		this.parts.noteUnreachable();
+		this.parts.markUnreachable();
 		const id = `crash ${this.parts.instance} ${this.crashes}`;
 		const fields = suspects.slice(0, maxReported);
 		this.parts.gossip.spreadRumor({id, kind: RumorKind.Crash, fields});
--- a/src/node/link-budgets.ts
+++ b/src/node/link-budgets.ts
@@ -5,10 +5,10 @@
 import {TrafficKind, type Metrics} from '../telemetry/index.js';
 
 /** What link budgets are made of. */
-export interface LinkBudgetsParts {
+export interface LinkBudgetsDependencies {
 	readonly clock: Clock;
 	readonly metrics: Metrics;
-	readonly keeper: RevisionTracker;
+	readonly revisions: RevisionTracker;
 	/** @returns the membership. */
 	gossip(): Gossip;
 }
@@ -17,7 +17,7 @@
 export class LinkBudgets {
 	private readonly buckets: RegionBuckets;
 
-	constructor(private readonly parts: LinkBudgetsParts) {
+	constructor(private readonly parts: LinkBudgetsDependencies) {
 		this.buckets = new RegionBuckets(parts.clock);
 	}
 
@@ -41,7 +41,7 @@
 
 	private bucket(region: string): TokenBucket | undefined {
 		const {localMember: account, directory} = this.parts.gossip();
-		const link = this.parts.keeper.inForce?.link(account.region, region);
+		const link = this.parts.revisions.inForce?.link(account.region, region);
 		const nodes = directory.countInRegion(account.region);
 		return link && this.buckets.bucket(region, link.controlBytesPerSecond, nodes);
 	}
--- a/src/node/load-news.ts
+++ b/src/node/load-news.ts
@@ -5,7 +5,7 @@
 import {Distance, distanceBetween, type Gossip} from '../membership/index.js';
 
 /** What load news are made of. */
-export interface LoadNewsParts {
+export interface LoadBroadcasterDependencies {
 	readonly clock: Clock;
 	readonly gossip: Gossip;
 	readonly hub: LinkHub;
@@ -29,13 +29,13 @@
 const slowSpell = 2;
 
 /** Tells linked peers when the load of the own backend server has changed. */
-export class LoadNews {
+export class LoadBroadcaster {
 	private readonly budgets: ReadonlyMap<Distance, TokenBucket>;
 	private isScheduled = false;
 	private lastPush = Number.NEGATIVE_INFINITY;
 	private wasSlow = false;
 
-	constructor(private readonly parts: LoadNewsParts) {
+	constructor(private readonly parts: LoadBroadcasterDependencies) {
 		const {clock} = parts;
 		this.budgets = new Map([
 			[Distance.SameZone, new TokenBucket(clock, sameZoneRate, rateDepth)],
@@ -45,7 +45,7 @@
 	}
 
 	/** The load has changed notably. */
-	noteChanged(): void {
+	scheduleBroadcast(): void {
 		if (this.isScheduled) {
 			return;
 		}
--- a/src/node/node-lifecycle.ts
+++ b/src/node/node-lifecycle.ts
@@ -17,8 +17,8 @@
 /** What happens to a node. */
 export enum NodeEvent {
 	Listening = 'listening',
-	Informed = 'informed',
-	StopAsked = 'stop-asked',
+	Synchronized = 'informed',
+	StopRequested = 'stop-asked',
 	Finished = 'finished',
 }
 
@@ -32,16 +32,16 @@
 		[NodeState.Starting]: {
 			on: {
 				[NodeEvent.Listening]: NodeState.Joining,
-				[NodeEvent.StopAsked]: NodeState.Stopped,
+				[NodeEvent.StopRequested]: NodeState.Stopped,
 			},
 		},
 		[NodeState.Joining]: {
 			on: {
-				[NodeEvent.Informed]: NodeState.Ready,
-				[NodeEvent.StopAsked]: NodeState.Draining,
+				[NodeEvent.Synchronized]: NodeState.Ready,
+				[NodeEvent.StopRequested]: NodeState.Draining,
 			},
 		},
-		[NodeState.Ready]: {on: {[NodeEvent.StopAsked]: NodeState.Draining}},
+		[NodeState.Ready]: {on: {[NodeEvent.StopRequested]: NodeState.Draining}},
 		[NodeState.Draining]: {on: {[NodeEvent.Finished]: NodeState.Stopped}},
 		[NodeState.Stopped]: {type: 'final'},
 	},
--- a/src/node/pause-watch.ts
+++ b/src/node/pause-watch.ts
@@ -9,7 +9,7 @@
  * turn in which somebody asks counts as a sign of life, so that a busy node knows it to a few ms and
  * an idle one is seldom woken up.
  */
-export class PauseWatch {
+export class PauseDetector {
 	private lastTurn: Millis;
 	private isTurnNoted = false;
 
--- a/src/settings/index.ts
+++ b/src/settings/index.ts
@@ -4,5 +4,5 @@
 	type BackendSettings,
 	type BudgetSettings,
 	type NodeSettings,
-	type WaySettings,
+	type TransferCostSettings as TransferCostSettings,
 } from './node-settings.js';
--- a/src/settings/node-settings.ts
+++ b/src/settings/node-settings.ts
@@ -7,7 +7,7 @@
 	SectionReader,
 	type Finding,
 } from '../ini/index.js';
-import {LogForm, LogLevel} from '../telemetry/index.js';
+import {LogFormat, LogLevel} from '../telemetry/index.js';
 import {parseEndpoint, type Endpoint} from './endpoint.js';
 
 /** What is known of the backend server beside the node before it announces itself. */
@@ -21,7 +21,7 @@
 }
 
 /** What a kilobyte costs by its way, in answers of the least urgent rank. */
-export interface WaySettings {
+export interface TransferCostSettings {
 	readonly otherZoneCost: number;
 	readonly otherRegionCost: number;
 }
@@ -48,7 +48,7 @@
 	readonly readinessPort: number | undefined;
 	readonly announcementPort: number | undefined;
 	readonly backend: BackendSettings;
-	readonly ways: WaySettings;
+	readonly ways: TransferCostSettings;
 	readonly budgets: BudgetSettings;
 	readonly region: string;
 	readonly zone: string;
@@ -56,7 +56,7 @@
 	readonly secret: string;
 	readonly store: Endpoint | undefined;
 	readonly stopTimeout: Millis;
-	readonly logForm: LogForm;
+	readonly logForm: LogFormat;
 	readonly logLevel: LogLevel;
 	/** Seed of the random numbers; undefined for one of its own. */
 	readonly randomSeed: number | undefined;
@@ -106,7 +106,7 @@
 	};
 }
 
-function readWays(reader: SectionReader): WaySettings {
+function readWays(reader: SectionReader): TransferCostSettings {
 	const cost = {min: 0, max: 1, fallback: 0};
 	return {
 		otherZoneCost: reader.number('other-zone-cost', cost),
@@ -175,11 +175,11 @@
 		seeds: readEndpoints(peers, 'seeds'),
 		secret,
 		store: readEndpoints(store, 'address')[0],
-		logForm: log.choice('form', Object.values(LogForm), LogForm.Json),
+		logForm: log.choice('form', Object.values(LogFormat), LogFormat.Json),
 		logLevel: log.choice('level', Object.values(LogLevel), LogLevel.Info),
 	};
 	for (const reader of [node, peers, store, log, backend, ways, budgets]) {
-		reader.finish();
+		reader.reportUnknownKeys();
 	}
 
 	if (findings.length > 0) {
--- a/src/telemetry/__tests__/unit/line-writer.test.ts
+++ b/src/telemetry/__tests__/unit/line-writer.test.ts
@@ -13,7 +13,7 @@
 		});
 	}
 
-	writeNow(bytes: Uint8Array): void {
+	writeSync(bytes: Uint8Array): void {
 		this.written.push(new TextDecoder().decode(bytes));
 	}
 
@@ -34,8 +34,8 @@
 		}
 
 		vi.advanceTimersByTime(1000);
-		expect(writer.takeDropped()).toBe(7);
-		expect(writer.takeDropped()).toBe(0);
+		expect(writer.takeDroppedCount()).toBe(7);
+		expect(writer.takeDroppedCount()).toBe(0);
 		sink.release();
 		expect(sink.written.join('')).toBe('0123456789'.repeat(3));
 		writer.write('again');
@@ -58,17 +58,17 @@
 		};
 
 		writeSome();
-		expect(writer.takeDropped()).toBe(15);
+		expect(writer.takeDroppedCount()).toBe(15);
 		now = 1000;
 		writeSome();
-		expect(writer.takeDropped()).toBe(15);
+		expect(writer.takeDroppedCount()).toBe(15);
 	});
 
 	it('writes what waits when the process ends', () => {
 		const sink = new StuckSink();
 		const writer = new LineWriter(sink, () => 0);
 		writer.write('last words');
-		writer.flushNow();
+		writer.flushSync();
 		expect(sink.written).toEqual(['last words']);
 	});
 });
--- a/src/telemetry/line-writer.ts
+++ b/src/telemetry/line-writer.ts
@@ -14,7 +14,7 @@
 	 * Writes at once, as the process ends.
 	 * @param bytes - what to write.
 	 */
-	writeNow(bytes: Uint8Array): void;
+	writeSync(bytes: Uint8Array): void;
 }
 
 /** Bounds of what a writer takes. */
@@ -59,16 +59,16 @@
 	}
 
 	/** @returns lines dropped since the last call. */
-	takeDropped(): number {
+	takeDroppedCount(): number {
 		const dropped = this.droppedLines;
 		this.droppedLines = 0;
 		return dropped;
 	}
 
 	/** Writes what waits at once, as the process ends. */
-	flushNow(): void {
+	flushSync(): void {
 		if (this.pending.length > 0) {
-			this.sink.writeNow(concatBytes(this.pending));
+			this.sink.writeSync(concatBytes(this.pending));
 			this.pending = [];
 		}
 	}
@@ -158,7 +158,7 @@
 		});
 	}
 
-	writeNow(bytes: Uint8Array): void {
+	writeSync(bytes: Uint8Array): void {
 		writeAtEnd(this.descriptor, bytes);
 	}
 }
@@ -181,7 +181,7 @@
 		});
 	}
 
-	writeNow(bytes: Uint8Array): void {
+	writeSync(bytes: Uint8Array): void {
 		writeAtEnd(this.descriptor, bytes);
 	}
 }
--- a/src/telemetry/logger.ts
+++ b/src/telemetry/logger.ts
@@ -5,7 +5,7 @@
 import {logEvents, type LogEvent} from './log-event.js';
 
 /** How log lines are written. */
-export enum LogForm {
+export enum LogFormat {
 	Json = 'json',
 	Human = 'human',
 }
@@ -46,12 +46,12 @@
  * @param level - the least serious level that is written.
  * @returns a logger that writes to standard output, bounded in volume and never blocking.
  */
-export function createLogger(form: LogForm, level: string): Logger {
+export function createLogger(form: LogFormat, level: string): Logger {
 	const {printf} = winston.format;
-	const line = printf(form === LogForm.Json ? jsonLine : humanLine);
+	const line = printf(form === LogFormat.Json ? jsonLine : humanLine);
 	const writer = new LineWriter(createSink(standardOutput), () => performance.now());
 	process.once('exit', () => {
-		writer.flushNow();
+		writer.flushSync();
 	});
 	const target = winston.createLogger({
 		level,
@@ -70,7 +70,7 @@
 		},
 	};
 	setInterval(() => {
-		const lines = writer.takeDropped();
+		const lines = writer.takeDroppedCount();
 		if (lines > 0) {
 			logger.log(logEvents.logLinesDropped, {lines});
 		}
--- a/src/wiring/node-core.ts
+++ b/src/wiring/node-core.ts
@@ -16,11 +16,11 @@
 	type HeldRevision,
 	type Rumor,
 } from '../membership/index.js';
-import {BackendKeeper} from '../node/backend-keeper.js';
+import {BackendMonitor} from '../node/backend-keeper.js';
 import {CrashWatcher} from '../node/crash-watcher.js';
 import {LinkBudgets} from '../node/link-budgets.js';
 import {NodeEvent, nodeMachine, NodeState} from '../node/node-lifecycle.js';
-import {PauseWatch} from '../node/pause-watch.js';
+import {PauseDetector} from '../node/pause-watch.js';
 import {createRandom, type Random} from '../random/index.js';
 import type {Placement} from '../routing/index.js';
 import {formatEndpoint, type NodeSettings} from '../settings/index.js';
@@ -28,16 +28,16 @@
 import {pause} from '../util/index.js';
 
 /** What differs between the kinds of node. */
-export interface CoreHooks {
+export interface NodeCoreHooks {
 	readonly backendProtocol: BackendProtocol;
-	readonly silenceLimit: Millis | undefined;
+	readonly announcementTimeout: Millis | undefined;
 	/** Whether an earlier process may have acknowledged what the backend server said. */
 	readonly isRestart: boolean;
 	/** A peer tells the load of its backend server. */
 	readonly peerLoad: HubHost['peerLoad'];
 	readonly takeHandover: HubHost['takeHandover'];
 	/** Runs attempts that are sent to this node as the home of a key. */
-	readonly homeRunner: AttemptRunner;
+	readonly keyOwnerRunner: AttemptRunner;
 	/** @returns what places calls. */
 	createPlacement(core: NodeCore): Placement;
 	/** @returns what this node may save up of the budgets for further attempts. */
@@ -45,10 +45,10 @@
 	/** Asks the own backend server how fast it works. */
 	probeSpeed(): Promise<void>;
 	/** The load of the own backend server has changed so much that others should know. */
-	loadChanged(): void;
-	hearRevisionNews(news: KnownRevisions, from: string): void;
-	hearHeld(held: HeldRevision): void;
-	hearRumor(rumor: Rumor): void;
+	handleLoadChanged(): void;
+	handleKnownRevisions(news: KnownRevisions, from: string): void;
+	handleHeldRevision(held: HeldRevision): void;
+	handleRumor(rumor: Rumor): void;
 }
 
 const randomBound = 1024;
@@ -61,36 +61,36 @@
 /** What every node is made of: membership, links, executor, and the runner of calls. */
 export class NodeCore {
 	readonly metrics = new Metrics();
-	readonly keeper = new RevisionTracker();
+	readonly revisions = new RevisionTracker();
 	readonly lifecycle = createActor(nodeMachine).start();
 	readonly random: Random;
 	readonly id: string;
 	readonly instance: string;
 	readonly gossip: Gossip;
 	readonly executor: Executor;
-	readonly backend: BackendKeeper;
-	readonly crashes: CrashWatcher;
+	readonly backend: BackendMonitor;
+	readonly crashWatcher: CrashWatcher;
 	readonly hub: LinkHub;
 	readonly placement: Placement;
 	readonly runner: CallRunner;
 	private readonly socket: GossipSocket;
 	private readonly budgets: LinkBudgets;
-	private readonly pauses: PauseWatch;
+	private readonly pauses: PauseDetector;
 	private undoGossipCheck: Undo | undefined;
 
 	constructor(
 		readonly settings: NodeSettings,
 		readonly clock: Clock,
 		readonly logger: Logger,
-		private readonly hooks: CoreHooks,
+		private readonly hooks: NodeCoreHooks,
 	) {
-		const {metrics, keeper} = this;
+		const {metrics, revisions: keeper} = this;
 		this.random = createRandom(settings.randomSeed ?? randomInt(maxSeed));
 		this.id = formatEndpoint({address: settings.advertise, port: settings.linkPort});
 		const incarnation = clock.wallNow() * randomBound + randomInt(randomBound);
 		this.instance = `${this.id}#${incarnation}`;
-		this.pauses = new PauseWatch(clock);
-		this.budgets = new LinkBudgets({clock, metrics, keeper, gossip: () => this.gossip});
+		this.pauses = new PauseDetector(clock);
+		this.budgets = new LinkBudgets({clock, metrics, revisions: keeper, gossip: () => this.gossip});
 		this.socket = this.createSocket();
 		this.gossip = new Gossip(createLocalMember(this.id, incarnation, settings), {
 			settings: defaultGossipSettings,
@@ -98,15 +98,15 @@
 			random: this.random,
 			host: this.createGossipHost(),
 		});
-		this.crashes = this.createCrashWatcher();
+		this.crashWatcher = this.createCrashWatcher();
 		this.executor = this.createExecutor();
-		this.backend = new BackendKeeper({
+		this.backend = new BackendMonitor({
 			clock,
 			logger,
-			keeper,
+			revisions: keeper,
 			executor: this.executor,
 			gossip: this.gossip,
-			silenceLimit: hooks.silenceLimit,
+			announcementTimeout: hooks.announcementTimeout,
 			isRestart: hooks.isRestart,
 		});
 		this.hub = this.createHub();
@@ -129,7 +129,7 @@
 	}
 
 	/** Whether the node gives calls to executors. */
-	get isTakingCalls(): boolean {
+	get isAcceptingCalls(): boolean {
 		return this.state === NodeState.Ready || this.state === NodeState.Draining;
 	}
 
@@ -151,20 +151,20 @@
 	}
 
 	/** The node knows enough to take calls. */
-	becomeReady(): void {
-		this.lifecycle.send({type: NodeEvent.Informed});
-		this.logger.log(logEvents.nodeReady, {revision: this.keeper.inForce?.revision});
+	markReady(): void {
+		this.lifecycle.send({type: NodeEvent.Synchronized});
+		this.logger.log(logEvents.nodeReady, {revision: this.revisions.inForce?.revision});
 	}
 
 	/**
 	 * Waits until nothing is in flight.
-	 * @param countBusy - counts what is in flight.
+	 * @param countInFlight - counts what is in flight.
 	 * @param until - monotonic time in ms at which to give up.
 	 * @returns whether everything has ended.
 	 */
-	async waitUntilIdle(countBusy: () => number, until: Millis): Promise<boolean> {
+	async waitUntilIdle(countInFlight: () => number, until: Millis): Promise<boolean> {
 		while (this.clock.now() < until) {
-			if (countBusy() === 0) {
+			if (countInFlight() === 0) {
 				return true;
 			}
 
@@ -218,16 +218,16 @@
 				this.socket.send(to, message);
 			},
 			mayProbe: (member) => this.budgets.mayProbe(member),
-			knownRevisions: () => this.keeper.known,
+			knownRevisions: () => this.revisions.known,
 			handleKnownRevisions: (news, from) => {
-				this.hooks.hearRevisionNews(news, from);
+				this.hooks.handleKnownRevisions(news, from);
 			},
 			handleRumor: (rumor) => {
-				this.crashes.hear(rumor);
-				this.hooks.hearRumor(rumor);
+				this.crashWatcher.handleRumor(rumor);
+				this.hooks.handleRumor(rumor);
 			},
 			handleHeldRevision: (held) => {
-				this.hooks.hearHeld(held);
+				this.hooks.handleHeldRevision(held);
 			},
 			handlePause: (span) => {
 				this.logger.log(logEvents.nodePaused, {pause: Math.round(span)});
@@ -242,8 +242,8 @@
 			gossip: this.gossip,
 			instance: this.instance,
 			endpoint: () => this.backend.current,
-			noteUnreachable: () => {
-				this.backend.noteUnreachable();
+			markUnreachable: () => {
+				this.backend.markUnreachable();
 			},
 		});
 	}
@@ -254,13 +254,13 @@
 			metrics: this.metrics,
 			logger: this.logger,
 			protocol: this.hooks.backendProtocol,
-			crashWatch: this.crashes,
+			crashWatch: this.crashWatcher,
 			onBackendUnreachable: () => {
-				this.backend.noteUnreachable();
+				this.backend.markUnreachable();
 			},
 			probeSpeed: async () => this.hooks.probeSpeed(),
 			onLoadChanged: () => {
-				this.hooks.loadChanged();
+				this.hooks.handleLoadChanged();
 			},
 		});
 	}
@@ -279,9 +279,9 @@
 			host: {
 				staleness: () => this.pauses.staleness(),
 				runnerFor: (target) =>
-					target === OpenTarget.Executor ? this.executor : this.hooks.homeRunner,
+					target === OpenTarget.Executor ? this.executor : this.hooks.keyOwnerRunner,
 				askAndFence: (peer, sequence) => this.executor.queryAndFence({instance: peer, sequence}),
-				contentOf: (hash) => this.keeper.contentOf(hash),
+				contentOf: (hash) => this.revisions.contentOf(hash),
 				takeHandover: (from, records) => {
 					this.hooks.takeHandover(from, records);
 				},
@@ -310,7 +310,7 @@
 				this.placement.forget(member.id);
 			}
 		});
-		this.keeper.registerListener((index) => {
+		this.revisions.registerListener((index) => {
 			this.metrics.revision.set(index.revision);
 			this.logger.log(logEvents.revisionInForce, {revision: index.revision});
 		});
--- a/src/wiring/operator-routes.ts
+++ b/src/wiring/operator-routes.ts
@@ -34,22 +34,22 @@
 		jsonReply({members: [...node.core.gossip.directory.all()]}),
 	);
 	server.registerHandler('POST /v1/backend', (body) => {
-		node.core.backend.announce(parseAnnouncement(body));
+		node.core.backend.handleAnnouncement(parseAnnouncement(body));
 		return jsonReply({state: node.core.backend.state});
 	});
 	server.registerHandler('POST /v1/drain', () => {
 		node.core.backend.drainNode();
 		return jsonReply({state: node.core.backend.state});
 	});
-	server.registerHandler('GET /v1/holds', () => jsonReply({holds: node.core.crashes.holds()}));
+	server.registerHandler('GET /v1/holds', () => jsonReply({holds: node.core.crashWatcher.holds()}));
 	server.registerHandler('DELETE /v1/holds/*', (_body, fingerprint) => {
-		node.core.crashes.lift(fingerprint);
+		node.core.crashWatcher.lift(fingerprint);
 		return jsonReply({lifted: fingerprint});
 	});
 }
 
 function statusOf(node: OperatedNode) {
-	const {accepted, staged} = node.core.keeper.known;
+	const {accepted, staged} = node.core.revisions.known;
 	return {
 		id: node.core.id,
 		instance: node.core.instance,
@@ -60,8 +60,8 @@
 			load: node.core.executor.report(),
 		},
 		revision: {
-			inForce: node.core.keeper.inForce?.revision ?? 0,
-			held: node.core.keeper.heldRevision,
+			inForce: node.core.revisions.inForce?.revision ?? 0,
+			held: node.core.revisions.heldRevision,
 			accepted,
 			staged,
 		},
--- a/src/wiring/routed-node.ts
+++ b/src/wiring/routed-node.ts
@@ -15,7 +15,7 @@
 } from '../membership/index.js';
 import {BackendFinder} from '../node/backend-finder.js';
 import {BackendProbe, type ProbeRate} from '../node/backend-probe.js';
-import {LoadNews} from '../node/load-news.js';
+import {LoadBroadcaster} from '../node/load-news.js';
 import {NodeEvent, NodeState} from '../node/node-lifecycle.js';
 import {OperatorServer, textReply} from '../operations/index.js';
 import {ObjectivePlacement} from '../routing/index.js';
@@ -23,14 +23,14 @@
 import type {RowFeed, TableService} from '../store/index.js';
 import {logEvents, type Logger, type Metrics} from '../telemetry/index.js';
 import {pause} from '../util/index.js';
-import {NodeCore, type CoreHooks} from './node-core.js';
+import {NodeCore, type NodeCoreHooks} from './node-core.js';
 import {registerOperatorRoutes} from './operator-routes.js';
 
 /** What a routed node needs of the platform's store. */
 export type RoutedStore = TableService & RowFeed & {close(): void};
 
 /** How a routed node speaks to what surrounds it. */
-export interface Surroundings {
+export interface RoutedNodeAdapters {
 	readonly source: ConfigurationSource;
 	readonly backendProtocol: BackendProtocol;
 	/** Path of the question whether the node is ready, with its method. */
@@ -41,10 +41,10 @@
 	 */
 	createStore(metrics: Metrics): RoutedStore;
 	/**
-	 * @param isInnerCall - tells by its id whether a request is part of another one.
+	 * @param isNestedCall - tells by its id whether a request is part of another one.
 	 * @returns the protocol towards callers.
 	 */
-	createCallerProtocol(isInnerCall: (requestId: string) => boolean): CallerProtocol;
+	createCallerProtocol(isNestedCall: (requestId: string) => boolean): CallerProtocol;
 	/** Registers what the backend server may say of itself. */
 	registerAnnouncements(server: OperatorServer, node: RoutedNode): void;
 }
@@ -62,7 +62,12 @@
 /** Announcements that may be missed before a backend server counts as gone. */
 const missedAnnouncements = 6;
 /** Speed readings a second that are wanted; answers bring most of them for nothing. */
-const speedProbes: ProbeRate = {period: 100, speedAge: 200, idleAfter: second, budget: 150};
+const speedProbes: ProbeRate = {
+	period: 100,
+	maxSpeedAge: 200,
+	idleTimeout: second,
+	defaultBudget: 150,
+};
 /** Up to so many members of the zone, or of all, a node keeps a link to each, so that load news reach it. */
 const fullMeshMembers = 32;
 /** How long after a member was found a link to it is opened that no call has opened, and the spread. */
@@ -88,7 +93,7 @@
 	private readonly readiness = new OperatorServer();
 	private readonly announcements = new OperatorServer();
 	private readonly probe: BackendProbe;
-	private readonly news: LoadNews;
+	private readonly news: LoadBroadcaster;
 	private readonly linking = new Set<string>();
 	private informedAt: Millis | undefined;
 	private lowestPriority = 0;
@@ -97,14 +102,14 @@
 		private readonly settings: NodeSettings,
 		private readonly clock: Clock,
 		private readonly logger: Logger,
-		private readonly surroundings: Surroundings,
+		private readonly surroundings: RoutedNodeAdapters,
 	) {
 		this.core = new NodeCore(settings, clock, logger, this.createHooks());
-		const {gossip, hub, keeper, metrics, random, executor, backend, runner} = this.core;
+		const {gossip, hub, revisions: keeper, metrics, random, executor, backend, runner} = this.core;
 		const {source, backendProtocol} = surroundings;
 		this.store = surroundings.createStore(metrics);
 		const {store} = this;
-		this.news = new LoadNews({clock, gossip, hub, report: () => executor.report()});
+		this.news = new LoadBroadcaster({clock, gossip, hub, report: () => executor.report()});
 		const {
 			isFirstStart,
 			backend: {service},
@@ -124,7 +129,7 @@
 		this.probe = new BackendProbe({
 			clock,
 			metrics,
-			keeper,
+			revisions: keeper,
 			backend,
 			executor,
 			protocol: backendProtocol,
@@ -136,7 +141,7 @@
 			logger,
 			protocol: surroundings.createCallerProtocol((id) => executor.isRunningParentOf(id)),
 			keyedCalls: undefined,
-			configuration: () => (this.core.isTakingCalls ? keeper.inForce : undefined),
+			configuration: () => (this.core.isAcceptingCalls ? keeper.inForce : undefined),
 			runCall: async (call) => runner.run(call),
 		});
 		keeper.registerListener((index) => {
@@ -194,7 +199,7 @@
 		const {clock} = this;
 		const {lifecycle, backend, gossip, hub, executor} = this.core;
 		const until = clock.now() + this.settings.stopTimeout - stopReserve;
-		lifecycle.send({type: NodeEvent.StopAsked});
+		lifecycle.send({type: NodeEvent.StopRequested});
 		this.logger.log(logEvents.nodeDraining, {
 			inFlight: this.ingress.inFlight,
 			running: executor.callCount,
@@ -225,38 +230,38 @@
 	private findBackend(): void {
 		const {clock, logger} = this;
 		const {endpoint, service} = this.settings.backend;
-		const {keeper, backend} = this.core;
+		const {revisions: revisions, backend} = this.core;
 		if (endpoint) {
 			const {backendProtocol: protocol} = this.surroundings;
-			const parts = {clock, logger, keeper, backend, protocol, endpoint, service};
+			const parts = {clock, logger, revisions: revisions, backend, protocol, endpoint, service};
 			new BackendFinder(parts).start();
 		}
 	}
 
-	private createHooks(): CoreHooks {
+	private createHooks(): NodeCoreHooks {
 		const {settings} = this;
 		return {
 			backendProtocol: this.surroundings.backendProtocol,
-			silenceLimit: settings.backend.announcePeriod * missedAnnouncements,
+			announcementTimeout: settings.backend.announcePeriod * missedAnnouncements,
 			isRestart: !settings.isFirstStart,
 			createPlacement: (core) => this.createPlacement(core),
 			budgetBursts: () => this.budgetBursts(),
 			probeSpeed: async () => this.probe.probeNow(),
-			loadChanged: () => {
-				this.news.noteChanged();
+			handleLoadChanged: () => {
+				this.news.scheduleBroadcast();
 				this.noteOwnLoad();
 			},
-			hearRevisionNews: (news, from) => {
+			handleKnownRevisions: (news, from) => {
 				this.feed.hear(news, from);
 			},
-			hearHeld: () => undefined,
-			hearRumor: () => undefined,
+			handleHeldRevision: () => undefined,
+			handleRumor: () => undefined,
 			peerLoad: (id, load) => {
 				this.placement?.recordLoad(id, load);
 				this.core.runner.reconsiderHedges(id);
 			},
 			takeHandover: () => undefined,
-			homeRunner: {run: async () => createUnknown(RefusalReason.KeyNotChecked)},
+			keyOwnerRunner: {run: async () => createUnknown(RefusalReason.KeyNotChecked)},
 		};
 	}
 
@@ -338,7 +343,7 @@
 		}
 
 		if (this.isInformed()) {
-			this.core.becomeReady();
+			this.core.markReady();
 			return;
 		}
 
@@ -348,7 +353,7 @@
 	}
 
 	private isInformed(): boolean {
-		const {keeper, gossip} = this.core;
+		const {revisions: keeper, gossip} = this.core;
 		if (keeper.inForce === undefined) {
 			return false;
 		}
--- a/src/wiring/turmeric-node.ts
+++ b/src/wiring/turmeric-node.ts
@@ -19,7 +19,7 @@
 import {GuardedStore, type ObjectStore, type TableService} from '../store/index.js';
 import {logEvents, type Logger, type Metrics} from '../telemetry/index.js';
 import {pause} from '../util/index.js';
-import {NodeCore, type CoreHooks} from './node-core.js';
+import {NodeCore, type NodeCoreHooks} from './node-core.js';
 import {registerOperatorRoutes} from './operator-routes.js';
 
 const joinPeriod: Millis = 500;
@@ -38,7 +38,7 @@
 export class TurmericNode {
 	readonly core: NodeCore;
 	readonly keyedCalls: KeyedCalls;
-	readonly home: KeyOwner;
+	readonly keyOwner: KeyOwner;
 	private readonly store: GuardedStore | undefined;
 	private readonly storeClient: NodeStore | undefined;
 	private readonly revisions: RevisionAgent;
@@ -55,12 +55,12 @@
 		createStore: (metrics: Metrics) => NodeStore | undefined,
 	) {
 		this.core = new NodeCore(settings, clock, logger, this.createHooks());
-		const {id, instance, gossip, hub, keeper, metrics, runner} = this.core;
-		this.home = {id, instance};
+		const {id, instance, gossip, hub, revisions: keeper, metrics, runner} = this.core;
+		this.keyOwner = {id, instance};
 		this.probe = new BackendProbe({
 			clock,
 			metrics,
-			keeper,
+			revisions: keeper,
 			backend: this.core.backend,
 			executor: this.core.executor,
 			protocol: new TurmericBackendProtocol(),
@@ -78,7 +78,7 @@
 			store: this.store && new DeclarationStore(this.store),
 		});
 		this.homes = new KeyOwners({
-			self: this.home,
+			self: this.keyOwner,
 			gossip,
 			hub,
 			revisions: keeper,
@@ -91,7 +91,7 @@
 			logger,
 			protocol: new TurmericCallerProtocol(instance),
 			keyedCalls: this.keyedCalls,
-			configuration: () => (this.core.isTakingCalls ? keeper.inForce : undefined),
+			configuration: () => (this.core.isAcceptingCalls ? keeper.inForce : undefined),
 			runCall: async (call) => runner.run(call),
 		});
 		gossip.registerListener((member) => {
@@ -134,7 +134,7 @@
 		}
 
 		const {lifecycle, backend, gossip, hub, executor} = this.core;
-		lifecycle.send({type: NodeEvent.StopAsked});
+		lifecycle.send({type: NodeEvent.StopRequested});
 		this.logger.log(logEvents.nodeDraining);
 		backend.drainNode();
 		gossip.updateLocalMember({phase: MemberPhase.Draining});
@@ -160,33 +160,33 @@
 		return isClean;
 	}
 
-	private createHooks(): CoreHooks {
+	private createHooks(): NodeCoreHooks {
 		return {
 			backendProtocol: new TurmericBackendProtocol(),
-			silenceLimit: undefined,
+			announcementTimeout: undefined,
 			isRestart: false,
-			createPlacement({clock, random, gossip, keeper}) {
+			createPlacement({clock, random, gossip, revisions: keeper}) {
 				const routing = new ExpectedWaitPolicy({clock, random, self: () => gossip.localMember});
 				return new NearestFirstPlacement({clock, gossip, routing, revisions: keeper});
 			},
 			budgetBursts: () => budgetBursts,
 			// The product's own backend servers don't tell their speed.
 			probeSpeed: async () => undefined,
-			loadChanged: () => undefined,
-			hearRevisionNews: (news, from) => {
+			handleLoadChanged: () => undefined,
+			handleKnownRevisions: (news, from) => {
 				this.revisions.hear(news, from);
 			},
-			hearHeld: (held) => {
+			handleHeldRevision: (held) => {
 				this.revisions.hearHeld(held);
 			},
-			hearRumor: (rumor) => {
+			handleRumor: (rumor) => {
 				this.homes.handleRumor(rumor);
 			},
 			peerLoad: () => undefined,
 			takeHandover: (_from, records) => {
 				this.keyedCalls.importRecords(records);
 			},
-			homeRunner: {
+			keyOwnerRunner: {
 				run: async (attempt) => this.keyedCalls.runAttempt(attempt, this.homes.createCall(attempt)),
 			},
 		};
@@ -199,7 +199,7 @@
 	}
 
 	private createKeyedCalls(): KeyedCalls {
-		const {clock, home, store} = this;
+		const {clock, keyOwner: home, store} = this;
 		return new KeyedCalls({
 			clock,
 			self: home,
@@ -241,7 +241,7 @@
 		const seeds = this.settings.seeds.map((seed) => formatEndpoint(seed));
 		for (const seed of [...seeds, ...(await this.storedSeeds())]) {
 			const member = gossip.directory.get(seed);
-			if (seed !== this.home.id && !(member && isPresent(member))) {
+			if (seed !== this.keyOwner.id && !(member && isPresent(member))) {
 				gossip.join(seed);
 			}
 		}
@@ -266,7 +266,7 @@
 		}
 
 		if (this.revisions.isInformed) {
-			this.core.becomeReady();
+			this.core.markReady();
 			return;
 		}
 
