--- a/src/bin/turmericctl.ts
+++ b/src/bin/turmericctl.ts
@@ -218,7 +218,7 @@
 		guard(isJson, async () => {
 			const store = openStore(address);
 			const {head} = await store.readHead();
-			const silentZones = head.staged ? await store.silentZones(head.staged.revision) : [];
+			const silentZones = head.staged ? await store.unacknowledgedZones(head.staged.revision) : [];
 			write(isJson, {...head, silentZones}, [
 				`accepted: ${head.accepted?.revision ?? 'none'}`,
 				`staged: ${head.staged?.revision ?? 'none'}`,
--- a/src/claims/__tests__/unit/keyed-calls.test.ts
+++ b/src/claims/__tests__/unit/keyed-calls.test.ts
@@ -13,7 +13,7 @@
 	type Call,
 } from '../../../exchange/index.js';
 import {
-	Expect,
+	Precondition,
 	StoreUnavailableError,
 	type Row,
 	type TableService,
@@ -84,7 +84,7 @@
 
 	private apply({key, value, expect: condition, alsoAbsent = []}: WriteOperation): WriteResult {
 		const row = [key, ...alsoAbsent].map((item) => this.rows.get(item)).find(Boolean);
-		if (row && condition === Expect.Absent) {
+		if (row && condition === Precondition.Absent) {
 			return {isApplied: false, row};
 		}
 
--- a/src/claims/claim-writer.ts
+++ b/src/claims/claim-writer.ts
@@ -1,6 +1,6 @@
 import type {Clock, Millis} from '../clock/index.js';
 import {
-	Expect,
+	Precondition,
 	StoreUnavailableError,
 	type Row,
 	type TableService,
@@ -59,7 +59,7 @@
 		const {current: own, others} = claimKeys(key, clock.wallNow(), retention);
 		const {promise, resolve} = withResolvers<KeyOwner | undefined>();
 		const value = JSON.stringify(self);
-		const operation = {key: own, value, expect: Expect.Absent, alsoAbsent: others};
+		const operation = {key: own, value, expect: Precondition.Absent, alsoAbsent: others};
 		this.pending.push({operation, resolve});
 		if (!this.isWriting) {
 			this.isWriting = true;
--- a/src/claims/key-homes.ts
+++ b/src/claims/key-homes.ts
@@ -11,7 +11,7 @@
 } from '../exchange/index.js';
 import {OpenTarget, type LinkHub} from '../link/index.js';
 import {isPresent, MemberPhase, RumorKind, type Gossip, type Rumor} from '../membership/index.js';
-import {Expect, type TableService} from '../store/index.js';
+import {Precondition, type TableService} from '../store/index.js';
 import {rendezvous} from '../util/index.js';
 import type {KeyOwner} from './claim-writer.js';
 
@@ -149,7 +149,7 @@
 
 	private async runAt(id: string, call: Call): Promise<AttemptResult> {
 		const {head, deadline, objective, body, policy, cancellation} = call;
-		const result = await this.parts.hub.runnerTo(id, OpenTarget.KeyHome).run({
+		const result = await this.parts.hub.runnerTo(id, OpenTarget.KeyOwner).run({
 			id: {instance: this.parts.self.instance, sequence: 0},
 			head,
 			share: policy.share,
@@ -191,7 +191,7 @@
 		const key = `${handoverPrefix}${instance}`;
 		const value = JSON.stringify(heir);
 		try {
-			await store?.write([{key, value, expect: Expect.Any}]);
+			await store?.write([{key, value, expect: Precondition.Any}]);
 		} catch {
 			// The rumor tells those who are here; the row is for those who come later.
 		}
--- a/src/control/__tests__/unit/configuration-feed.test.ts
+++ b/src/control/__tests__/unit/configuration-feed.test.ts
@@ -74,7 +74,7 @@
 		clock,
 		random: createRandom(1),
 		logger,
-		keeper,
+		revisions: keeper,
 		gossip,
 		hub,
 		store,
--- a/src/control/__tests__/unit/readers.test.ts
+++ b/src/control/__tests__/unit/readers.test.ts
@@ -2,7 +2,7 @@
 import {ManualClock} from '../../../clock/index.js';
 import {createLocalMember, GossipType, Liveness, type Gossip} from '../../../membership/index.js';
 import {createTestGossip} from '../../../membership/__tests__/test-gossip.js';
-import {mustRead, readersOf} from '../../index.js';
+import {mustReadStore, selectReaders} from '../../index.js';
 
 const sizes = 20;
 
@@ -31,17 +31,17 @@
 
 describe('readersOf', () => {
 	it('names two members of the own zone', () => {
-		const readers = readersOf(createZone().gossip);
+		const readers = selectReaders(createZone().gossip);
 		expect(readers).toHaveLength(2);
 		expect(readers.every((id) => id.startsWith('10.0.0.'))).toBe(true);
 	});
 
 	it('replaces a reader as soon as it is suspected', () => {
 		const {gossip} = createZone();
-		const suspect = readersOf(gossip).find((id) => id !== gossip.localMember.id)!;
+		const suspect = selectReaders(gossip).find((id) => id !== gossip.localMember.id)!;
 		setLiveness(gossip, suspect, Liveness.Suspect);
-		expect(readersOf(gossip)).not.toContain(suspect);
-		expect(readersOf(gossip)).toHaveLength(2);
+		expect(selectReaders(gossip)).not.toContain(suspect);
+		expect(selectReaders(gossip)).toHaveLength(2);
 	});
 });
 
@@ -49,19 +49,23 @@
 	it('leaves the reading to the readers while others are heard', () => {
 		const {clock, gossip} = createZone();
 		hearFrom(gossip, '10.0.0.2:7001');
-		expect(mustRead(gossip, clock)).toBe(readersOf(gossip).includes(gossip.localMember.id));
+		expect(mustReadStore(gossip, clock)).toBe(
+			selectReaders(gossip).includes(gossip.localMember.id),
+		);
 	});
 
 	it('lets a node that hears of nobody read for itself', () => {
 		const {clock, gossip} = createZone();
-		for (const id of readersOf(gossip)) {
+		for (const id of selectReaders(gossip)) {
 			setLiveness(gossip, id, Liveness.Alive);
 		}
 
 		hearFrom(gossip, '10.0.0.2:7001');
 		clock.advance(1500);
-		expect(mustRead(gossip, clock)).toBe(true);
+		expect(mustReadStore(gossip, clock)).toBe(true);
 		hearFrom(gossip, '10.0.0.3:7001');
-		expect(mustRead(gossip, clock)).toBe(readersOf(gossip).includes(gossip.localMember.id));
+		expect(mustReadStore(gossip, clock)).toBe(
+			selectReaders(gossip).includes(gossip.localMember.id),
+		);
 	});
 });
--- a/src/control/__tests__/unit/roster.test.ts
+++ b/src/control/__tests__/unit/roster.test.ts
@@ -4,7 +4,7 @@
 import {createTestGossip} from '../../../membership/__tests__/test-gossip.js';
 import {createRandom} from '../../../random/index.js';
 import {
-	Expect,
+	Precondition,
 	StoreUnavailableError,
 	type Row,
 	type TableService,
@@ -50,8 +50,8 @@
 
 	private apply({key, value, expect: condition, etag}: WriteOperation): WriteResult {
 		const row = this.rows.get(key);
-		const isTaken = condition === Expect.Absent && row !== undefined;
-		const isChanged = condition === Expect.Etag && row?.etag !== etag;
+		const isTaken = condition === Precondition.Absent && row !== undefined;
+		const isChanged = condition === Precondition.Etag && row?.etag !== etag;
 		if (isTaken || isChanged) {
 			return {isApplied: false, row};
 		}
@@ -89,7 +89,7 @@
 		isFirstStart,
 	});
 	const addRow = async (id: string, value = '{}') => {
-		await store.write([{key: `members/${id}`, value, expect: Expect.Any}]);
+		await store.write([{key: `members/${id}`, value, expect: Precondition.Any}]);
 	};
 
 	const play = async (span: number) => {
--- a/src/control/configuration-feed.ts
+++ b/src/control/configuration-feed.ts
@@ -38,11 +38,11 @@
 }
 
 /** What a feed is made of. */
-export interface ConfigurationFeedParts {
+export interface ConfigurationFeedDependencies {
 	readonly clock: Clock;
 	readonly random: Random;
 	readonly logger: Logger;
-	readonly keeper: RevisionTracker;
+	readonly revisions: RevisionTracker;
 	readonly gossip: Gossip;
 	readonly hub: LinkHub;
 	readonly store: RowFeed;
@@ -77,11 +77,11 @@
 	private isRefetching = false;
 	private undoReaderCheck: Undo | undefined;
 
-	constructor(private readonly parts: ConfigurationFeedParts) {
+	constructor(private readonly parts: ConfigurationFeedDependencies) {
 		this.fetcher = new ContentFetcher({
 			...parts,
-			fromStore: async () => undefined,
-			held: () => undefined,
+			readFromStore: async () => undefined,
+			contentAdded: () => undefined,
 		});
 	}
 
@@ -109,8 +109,8 @@
 	 * @param news - its newest revisions.
 	 * @param from - id of the peer.
 	 */
-	hear(news: KnownRevisions, from: string): void {
-		if (this.parts.keeper.merge(news)) {
+	handleKnownRevisions(news: KnownRevisions, from: string): void {
+		if (this.parts.revisions.merge(news)) {
 			this.lastTeller = from;
 			this.parts.gossip.broadcastUpdates(pushFanOut);
 			void this.fetchMissing();
@@ -118,12 +118,12 @@
 	}
 
 	private get isNeeded(): boolean {
-		const {keeper, isReader} = this.parts;
+		const {revisions: keeper, isReader} = this.parts;
 		return !this.isStopped && (keeper.inForce === undefined || isReader());
 	}
 
 	private async fetchMissing(): Promise<void> {
-		const {clock, keeper} = this.parts;
+		const {clock, revisions: keeper} = this.parts;
 		await this.fetcher.fetchMissing(this.lastTeller);
 		if (keeper.missing().length > 0 && !this.isRefetching && !this.isStopped) {
 			this.isRefetching = true;
@@ -182,7 +182,7 @@
 	}
 
 	private noteFailure(err: unknown): Millis {
-		const {logger, random, keeper} = this.parts;
+		const {logger, random, revisions: keeper} = this.parts;
 		if (err instanceof HistoryLostError) {
 			logger.log(logEvents.feedHistoryLost, {position: this.position});
 			this.position = undefined;
@@ -205,7 +205,7 @@
 	}
 
 	private take({key, value}: RowChange): void {
-		const {source, keeper, gossip, logger} = this.parts;
+		const {source, revisions: keeper, gossip, logger} = this.parts;
 		if (key !== source.key || value === undefined) {
 			return;
 		}
@@ -226,7 +226,7 @@
 			return;
 		}
 
-		this.hear(news, gossip.localMember.id);
+		this.handleKnownRevisions(news, gossip.localMember.id);
 		if (keeper.missing().includes(hash)) {
 			keeper.addContent(hash, content);
 		}
--- a/src/control/content-fetcher.ts
+++ b/src/control/content-fetcher.ts
@@ -5,10 +5,10 @@
 import {logEvents, type Logger} from '../telemetry/index.js';
 
 /** What a fetcher is made of. */
-export interface ContentFetcherParts {
+export interface ContentFetcherDependencies {
 	readonly random: Random;
 	readonly logger: Logger;
-	readonly keeper: RevisionTracker;
+	readonly revisions: RevisionTracker;
 	readonly gossip: Gossip;
 	readonly hub: LinkHub;
 	/**
@@ -16,9 +16,9 @@
 	 * @param hash - hash of the content.
 	 * @returns the content; undefined when it is not to be had there.
 	 */
-	fromStore(hash: string): Promise<string | undefined>;
+	readFromStore(hash: string): Promise<string | undefined>;
 	/** A content has come that was missing. */
-	held(): void;
+	contentAdded(): void;
 }
 
 /** Members of the region that are asked for a content, one after the other. */
@@ -28,27 +28,27 @@
 export class ContentFetcher {
 	private readonly fetching = new Set<string>();
 
-	constructor(private readonly parts: ContentFetcherParts) {}
+	constructor(private readonly parts: ContentFetcherDependencies) {}
 
 	/**
 	 * Fetches what is missing.
 	 * @param teller - who told of it, and so is likely to hold it.
 	 */
 	async fetchMissing(teller: string | undefined): Promise<void> {
-		const missing = this.parts.keeper.missing().filter((hash) => !this.fetching.has(hash));
+		const missing = this.parts.revisions.missing().filter((hash) => !this.fetching.has(hash));
 		await Promise.all(missing.map(async (hash) => this.fetch(hash, teller)));
 	}
 
 	private async fetch(hash: string, teller: string | undefined): Promise<void> {
-		const {keeper, logger} = this.parts;
+		const {revisions: keeper, logger} = this.parts;
 		this.fetching.add(hash);
 		try {
 			const content =
-				(await this.parts.fromStore(hash)) ?? (await this.fetchFromPeers(hash, teller));
+				(await this.parts.readFromStore(hash)) ?? (await this.fetchFromPeers(hash, teller));
 			if (content !== undefined) {
 				keeper.addContent(hash, content);
 				logger.log(logEvents.revisionHeld, {hash, teller});
-				this.parts.held();
+				this.parts.contentAdded();
 			}
 		} catch (err) {
 			logger.log(logEvents.revisionRejected, {hash, error: String(err)});
@@ -70,7 +70,7 @@
 
 			// One after the other, as the first that holds it is enough.
 			const session = await hub.connect(id); // eslint-disable-line no-await-in-loop
-			const content = await session?.fetch(hash); // eslint-disable-line no-await-in-loop
+			const content = await session?.fetchContent(hash); // eslint-disable-line no-await-in-loop
 			if (content !== undefined) {
 				return content;
 			}
--- a/src/control/declaration-store.ts
+++ b/src/control/declaration-store.ts
@@ -6,7 +6,7 @@
 	type RevisionRecord,
 } from '../declaration/index.js';
 import {
-	Expect,
+	Precondition,
 	StoreUnavailableError,
 	type ObjectStore,
 	type TableService,
@@ -28,7 +28,7 @@
 }
 
 /** What became of an attempt to replace the head. */
-export enum HeadWrite {
+export enum HeadWriteResult {
 	Written = 'written',
 	/** Somebody else was first. */
 	Conflict = 'conflict',
@@ -72,7 +72,7 @@
 		before: HeadRow,
 		after: HeadRecord,
 		pause: () => Promise<void>,
-	): Promise<HeadWrite> {
+	): Promise<HeadWriteResult> {
 		const value = JSON.stringify(after);
 		return retryUnavailable(async () => this.tryReplaceHead(before, value), pause);
 	}
@@ -102,14 +102,14 @@
 	 */
 	async acknowledge(revision: number, zone: string): Promise<void> {
 		const key = `${ackPrefix(revision)}${zone}`;
-		await this.store.write([{key, value: '{}', expect: Expect.Any}]);
+		await this.store.write([{key, value: '{}', expect: Precondition.Any}]);
 	}
 
 	/**
 	 * @param revision - the staged revision.
 	 * @returns zones in use that have not acknowledged it.
 	 */
-	async silentZones(revision: number): Promise<string[]> {
+	async unacknowledgedZones(revision: number): Promise<string[]> {
 		const prefix = ackPrefix(revision);
 		const acks = await this.store.list(prefix);
 		const zones = await this.store.list(zonePrefix);
@@ -123,10 +123,10 @@
 	 * @param before - the head as it was read.
 	 * @param pause - waits between two tries.
 	 */
-	async acceptStaged(before: HeadRow, pause: () => Promise<void>): Promise<HeadWrite> {
+	async acceptStaged(before: HeadRow, pause: () => Promise<void>): Promise<HeadWriteResult> {
 		const {staged} = before.head;
 		const result = await this.replaceHead(before, accept(before.head), pause);
-		if (result === HeadWrite.Written && staged) {
+		if (result === HeadWriteResult.Written && staged) {
 			await this.addHistory(staged);
 			await this.store.deleteAll(ackPrefix(staged.revision));
 		}
@@ -139,7 +139,7 @@
 	 * @param before - the head as it was read.
 	 * @param pause - waits between two tries.
 	 */
-	async withdrawStaged(before: HeadRow, pause: () => Promise<void>): Promise<HeadWrite> {
+	async withdrawStaged(before: HeadRow, pause: () => Promise<void>): Promise<HeadWriteResult> {
 		return this.replaceHead(before, withdraw(before.head), pause);
 	}
 
@@ -157,7 +157,7 @@
 	 */
 	async registerZone(zone: string, seeds: readonly string[]): Promise<void> {
 		const key = `${zonePrefix}${zone}`;
-		await this.store.write([{key, value: JSON.stringify({seeds}), expect: Expect.Any}]);
+		await this.store.write([{key, value: JSON.stringify({seeds}), expect: Precondition.Any}]);
 	}
 
 	/**
@@ -166,7 +166,7 @@
 	 */
 	async retireZone(zone: string): Promise<void> {
 		const key = `${zonePrefix}${zone}`;
-		await this.store.write([{key, value: undefined, expect: Expect.Any}]);
+		await this.store.write([{key, value: undefined, expect: Precondition.Any}]);
 	}
 
 	/** @returns addresses of nodes in all zones in use. */
@@ -181,25 +181,26 @@
 		return seeds;
 	}
 
-	private async tryReplaceHead(before: HeadRow, value: string): Promise<HeadWrite> {
+	private async tryReplaceHead(before: HeadRow, value: string): Promise<HeadWriteResult> {
 		const current = await this.store.read(headKey);
 		if (current?.value === value) {
-			return HeadWrite.Written;
+			return HeadWriteResult.Written;
 		}
 
 		if (current?.etag !== before.etag) {
-			return HeadWrite.Conflict;
+			return HeadWriteResult.Conflict;
 		}
 
 		const {etag} = before;
-		const condition = etag === undefined ? {expect: Expect.Absent} : {expect: Expect.Etag, etag};
+		const condition =
+			etag === undefined ? {expect: Precondition.Absent} : {expect: Precondition.Etag, etag};
 		const [result] = await this.store.write([{key: headKey, value, ...condition}]);
-		return result?.isApplied ? HeadWrite.Written : HeadWrite.Conflict;
+		return result?.isApplied ? HeadWriteResult.Written : HeadWriteResult.Conflict;
 	}
 
 	private async addHistory(record: RevisionRecord): Promise<void> {
 		const value = JSON.stringify(record);
 		const key = historyKey(record.revision);
-		await this.store.write([{key, value, expect: Expect.Any}]);
+		await this.store.write([{key, value, expect: Precondition.Any}]);
 	}
 }
--- a/src/control/readers.ts
+++ b/src/control/readers.ts
@@ -13,7 +13,7 @@
  * @param gossip - the membership.
  * @returns ids of the readers of the node's own zone.
  */
-export function readersOf(gossip: Gossip): string[] {
+export function selectReaders(gossip: Gossip): string[] {
 	const {directory, localMember: account} = gossip;
 	const ids: string[] = [];
 	for (const member of directory.all()) {
@@ -31,7 +31,7 @@
  * @param clock - the time.
  * @returns whether the node itself must follow the store: as a reader, or as it hears of nobody.
  */
-export function mustRead(gossip: Gossip, clock: Pick<Clock, 'now'>): boolean {
+export function mustReadStore(gossip: Gossip, clock: Pick<Clock, 'now'>): boolean {
 	const isIsolated = clock.now() - gossip.lastReceivedAt > isolationTime;
-	return isIsolated || readersOf(gossip).includes(gossip.localMember.id);
+	return isIsolated || selectReaders(gossip).includes(gossip.localMember.id);
 }
--- a/src/control/revision-agent.ts
+++ b/src/control/revision-agent.ts
@@ -7,17 +7,17 @@
 import {logEvents, type Logger} from '../telemetry/index.js';
 import {pause} from '../util/index.js';
 import {ContentFetcher} from './content-fetcher.js';
-import {HeadWrite, type DeclarationStore, type HeadRow} from './declaration-store.js';
-import {readersOf} from './readers.js';
+import {HeadWriteResult, type DeclarationStore, type HeadRow} from './declaration-store.js';
+import {selectReaders} from './readers.js';
 import {zoneName} from './store-keys.js';
 import {ZoneHoldings} from './zone-holdings.js';
 
 /** What a revision agent is made of. */
-export interface RevisionAgentParts {
+export interface RevisionAgentDependencies {
 	readonly clock: Clock;
 	readonly random: Random;
 	readonly logger: Logger;
-	readonly keeper: RevisionTracker;
+	readonly revisions: RevisionTracker;
 	readonly gossip: Gossip;
 	readonly hub: LinkHub;
 	/** Undefined for a node without a store. */
@@ -46,11 +46,11 @@
 	private readonly tellers = new Set<string>();
 	private isStopped = false;
 
-	constructor(private readonly parts: RevisionAgentParts) {
+	constructor(private readonly parts: RevisionAgentDependencies) {
 		this.fetcher = new ContentFetcher({
 			...parts,
-			fromStore: async (hash) => this.fetchFromStore(hash),
-			held: () => {
+			readFromStore: async (hash) => this.fetchFromStore(hash),
+			contentAdded: () => {
 				this.nextReport = 0;
 				this.reportHeld();
 			},
@@ -58,8 +58,8 @@
 	}
 
 	/** Whether the node can know that no higher revision was accepted before it started. */
-	get isInformed(): boolean {
-		const {gossip, keeper} = this.parts;
+	get isCaughtUp(): boolean {
+		const {gossip, revisions: keeper} = this.parts;
 		const others = gossip.directory.countPresent() - 1;
 		const enoughTellers = this.tellers.size >= Math.min(fetchPeers, Math.max(1, others));
 		return keeper.inForce !== undefined && (this.hasReadStore || enoughTellers);
@@ -84,12 +84,12 @@
 	 * @param news - its newest revisions.
 	 * @param from - id of the peer.
 	 */
-	hear(news: KnownRevisions, from: string): void {
+	handleKnownRevisions(news: KnownRevisions, from: string): void {
 		if (news.accepted > 0) {
 			this.tellers.add(from);
 		}
 
-		if (this.parts.keeper.merge(news)) {
+		if (this.parts.revisions.merge(news)) {
 			this.lastTeller = from;
 			this.nextReport = 0;
 			this.parts.gossip.broadcastUpdates(pushFanOut);
@@ -100,14 +100,14 @@
 	/**
 	 * @param held - which revision a member of the zone holds.
 	 */
-	hearHeld(held: HeldRevision): void {
+	handleHeldReport(held: HeldRevision): void {
 		this.holdings.note(held);
 	}
 
 	/**
 	 * @param member - a member that changed.
 	 */
-	noteMember(member: Member): void {
+	handleMemberChange(member: Member): void {
 		if (!isPresent(member)) {
 			this.holdings.forget(member.id);
 		}
@@ -115,7 +115,7 @@
 
 	/** Whether this node reads the store for its zone. */
 	get isReader(): boolean {
-		return readersOf(this.parts.gossip).includes(this.parts.gossip.localMember.id);
+		return selectReaders(this.parts.gossip).includes(this.parts.gossip.localMember.id);
 	}
 
 	private async poll(): Promise<void> {
@@ -137,7 +137,7 @@
 		try {
 			const row = await store.readHead();
 			this.hasReadStore = true;
-			this.hear(newsOf(row), this.parts.gossip.localMember.id);
+			this.handleKnownRevisions(newsOf(row), this.parts.gossip.localMember.id);
 			if (!this.isReader) {
 				return false;
 			}
@@ -157,7 +157,7 @@
 		const now = this.parts.clock.now();
 		if (now >= this.nextZone) {
 			const {region, zone} = this.parts.gossip.localMember;
-			await store.registerZone(zoneName(region, zone), readersOf(this.parts.gossip));
+			await store.registerZone(zoneName(region, zone), selectReaders(this.parts.gossip));
 			this.nextZone = now + zonePeriod;
 		}
 	}
@@ -169,7 +169,7 @@
 		}
 
 		await this.fetchMissing();
-		const {gossip, keeper} = this.parts;
+		const {gossip, revisions: keeper} = this.parts;
 		const self = gossip.localMember;
 		const missing = this.holdings.missing(gossip.directory, self, staged.revision);
 		const isHeld = keeper.heldRevision >= staged.revision;
@@ -191,20 +191,20 @@
 		row: HeadRow,
 		revision: number,
 	): Promise<void> {
-		const silent = await store.silentZones(revision);
+		const silent = await store.unacknowledgedZones(revision);
 		if (silent.length > 0) {
 			return;
 		}
 
 		const result = await store.acceptStaged(row, async () => pause(this.parts.clock, pollPeriod));
-		if (result === HeadWrite.Written) {
+		if (result === HeadWriteResult.Written) {
 			const head = await store.readHead();
-			this.hear(newsOf(head), this.parts.gossip.localMember.id);
+			this.handleKnownRevisions(newsOf(head), this.parts.gossip.localMember.id);
 		}
 	}
 
 	private reportHeld(): void {
-		const {gossip, keeper, clock} = this.parts;
+		const {gossip, revisions: keeper, clock} = this.parts;
 		const held = keeper.heldRevision;
 		const {staged, accepted} = keeper.known;
 		const now = clock.now();
@@ -214,7 +214,7 @@
 		}
 
 		this.nextReport = now + reportPeriod;
-		for (const reader of readersOf(this.parts.gossip)) {
+		for (const reader of selectReaders(this.parts.gossip)) {
 			if (reader !== gossip.localMember.id) {
 				gossip.sendHeldRevision(reader, held);
 			}
@@ -227,7 +227,7 @@
 
 	private async fetchFromStore(hash: string): Promise<string | undefined> {
 		const {store} = this.parts;
-		if (!store || !(this.isReader || this.parts.keeper.inForce === undefined)) {
+		if (!store || !(this.isReader || this.parts.revisions.inForce === undefined)) {
 			return undefined;
 		}
 
--- a/src/control/roster.ts
+++ b/src/control/roster.ts
@@ -7,13 +7,13 @@
 	type Member,
 } from '../membership/index.js';
 import {sample, type Random} from '../random/index.js';
-import {Expect, type Row, type TableService, StoreUnavailableError} from '../store/index.js';
+import {Precondition, type Row, type TableService, StoreUnavailableError} from '../store/index.js';
 import {logEvents, type Logger} from '../telemetry/index.js';
 import {pause, rendezvous} from '../util/index.js';
 import {memberPrefix} from './store-keys.js';
 
 /** What a roster is made of. */
-export interface RosterParts {
+export interface RosterDependencies {
 	readonly clock: Clock;
 	readonly random: Random;
 	readonly logger: Logger;
@@ -66,7 +66,7 @@
 	private readonly startedAt: Millis;
 	private isStopped = false;
 
-	constructor(private readonly parts: RosterParts) {
+	constructor(private readonly parts: RosterDependencies) {
 		this.startedAt = parts.clock.now();
 	}
 
@@ -74,7 +74,7 @@
 	async enroll(): Promise<void> {
 		const {clock, random, isFirstStart} = this.parts;
 		if (isFirstStart) {
-			await this.persist(async () => this.register(Expect.Any));
+			await this.persist(async () => this.register(Precondition.Any));
 			await pause(clock, firstReadSpread * random.next());
 		}
 
@@ -102,7 +102,7 @@
 	/** Restores the own row and drops the rows of nodes that have been gone for long. */
 	async audit(): Promise<void> {
 		try {
-			await this.register(Expect.Absent);
+			await this.register(Precondition.Absent);
 			if (this.isAuditor()) {
 				await this.dropGone();
 			}
@@ -135,7 +135,7 @@
 		logger.log(logEvents.rosterRead, {members: rows.size});
 		this.presume(rows);
 		if (rows.get(gossip.localMember.id)?.value !== this.ownValue()) {
-			void this.persist(async () => this.register(Expect.Any));
+			void this.persist(async () => this.register(Precondition.Any));
 		}
 
 		return rows;
@@ -199,7 +199,7 @@
 		return rendezvous('roster', ids, auditors).includes(account.id);
 	}
 
-	private async register(expect: Expect.Any | Expect.Absent): Promise<void> {
+	private async register(expect: Precondition.Any | Precondition.Absent): Promise<void> {
 		const {id} = this.parts.gossip.localMember;
 		const value = this.ownValue();
 		await this.parts.store.write([{key: `${memberPrefix}${id}`, value, expect}]);
@@ -233,7 +233,7 @@
 				const {key, etag} = row;
 				// One after the other, as few are gone at a time.
 				// eslint-disable-next-line no-await-in-loop
-				await store.write([{key, value: undefined, expect: Expect.Etag, etag}]);
+				await store.write([{key, value: undefined, expect: Precondition.Etag, etag}]);
 				this.goneSince.delete(id);
 			}
 		}
--- a/src/datagram/gossip-socket.ts
+++ b/src/datagram/gossip-socket.ts
@@ -2,7 +2,7 @@
 import {createSocket, type Socket} from 'node:dgram';
 import {decodeGossip, encodeGossip, type GossipMessage} from '../membership/index.js';
 import {parseEndpoint} from '../settings/index.js';
-import {bound} from '../net/index.js';
+import {bindPort} from '../net/index.js';
 
 /** Why a datagram was dropped. The values are part of the metrics. */
 export enum DatagramReject {
@@ -55,7 +55,7 @@
 	 * @param port - UDP port.
 	 */
 	async bind(address: string, port: number): Promise<void> {
-		await bound(this.socket, (done) => {
+		await bindPort(this.socket, (done) => {
 			this.socket.bind(port, address, done);
 		});
 	}
--- a/src/ingress/ingress.ts
+++ b/src/ingress/ingress.ts
@@ -20,7 +20,7 @@
 	type CallEnd,
 } from '../exchange/index.js';
 import {logEvents, type Logger, type Metrics} from '../telemetry/index.js';
-import {bound} from '../net/index.js';
+import {bindPort} from '../net/index.js';
 import {withResolvers} from '../util/index.js';
 import {
 	RefusedRequestError,
@@ -93,7 +93,7 @@
 	 * @param port - TCP port.
 	 */
 	async listen(address: string, port: number): Promise<void> {
-		await bound(this.server, (done) => {
+		await bindPort(this.server, (done) => {
 			this.server.listen(port, address, done);
 		});
 	}
--- a/src/link/__tests__/unit/frame-codec.test.ts
+++ b/src/link/__tests__/unit/frame-codec.test.ts
@@ -25,7 +25,7 @@
 	{
 		type: FrameType.Open,
 		stream: 2,
-		target: OpenTarget.KeyHome,
+		target: OpenTarget.KeyOwner,
 		sequence: 9,
 		service: 's',
 		customer: 'c',
@@ -37,7 +37,7 @@
 		origin: {requestId: 'r1', caller: 'a', route: 'r', priority: 2},
 		fingerprint: 'f',
 		share: 1,
-		isBounceable: true,
+		canRetryElsewhere: true,
 		timeLeft: 12.5,
 		objectiveLeft: 4.25,
 		body: undefined,
@@ -47,14 +47,14 @@
 	{type: FrameType.Refused, stream: 2, reason: RefusalReason.Draining, load},
 	{type: FrameType.Failed, stream: 2, reason: RefusalReason.BackendLost},
 	{type: FrameType.Cancel, stream: 2},
-	{type: FrameType.Ask, question: 1, sequence: 9},
-	{type: FrameType.Told, question: 1, state: AttemptState.Ran},
-	{type: FrameType.Beat},
+	{type: FrameType.AttemptQuery, correlationId: 1, sequence: 9},
+	{type: FrameType.AttemptStatus, correlationId: 1, state: AttemptState.Ran},
+	{type: FrameType.Heartbeat},
 	{type: FrameType.Leaving},
 	{type: FrameType.Load, load},
-	{type: FrameType.Fetch, question: 3, hash: 'h'},
-	{type: FrameType.Fetched, question: 3, content: undefined},
-	{type: FrameType.HandoverTaken, question: 4},
+	{type: FrameType.Fetch, correlationId: 3, hash: 'h'},
+	{type: FrameType.FetchResult, correlationId: 3, content: undefined},
+	{type: FrameType.HandoverAck, correlationId: 4},
 ];
 
 describe('frame codec', () => {
--- a/src/link/frame-codec.ts
+++ b/src/link/frame-codec.ts
@@ -73,7 +73,7 @@
 				packOrigin(frame.origin),
 				frame.fingerprint,
 				frame.share,
-				frame.isBounceable,
+				frame.canRetryElsewhere,
 				round(frame.timeLeft),
 				round(frame.objectiveLeft),
 				frame.body,
@@ -109,15 +109,15 @@
 			return [type, frame.stream];
 		}
 
-		case FrameType.Ask: {
-			return [type, frame.question, frame.sequence];
+		case FrameType.AttemptQuery: {
+			return [type, frame.correlationId, frame.sequence];
 		}
 
-		case FrameType.Told: {
-			return [type, frame.question, frame.state];
+		case FrameType.AttemptStatus: {
+			return [type, frame.correlationId, frame.state];
 		}
 
-		case FrameType.Beat:
+		case FrameType.Heartbeat:
 		case FrameType.Leaving: {
 			return [type];
 		}
@@ -127,19 +127,19 @@
 		}
 
 		case FrameType.Fetch: {
-			return [type, frame.question, frame.hash];
+			return [type, frame.correlationId, frame.hash];
 		}
 
-		case FrameType.Fetched: {
-			return [type, frame.question, frame.content];
+		case FrameType.FetchResult: {
+			return [type, frame.correlationId, frame.content];
 		}
 
 		case FrameType.Handover: {
-			return [type, frame.question, frame.records];
+			return [type, frame.correlationId, frame.records];
 		}
 
-		case FrameType.HandoverTaken: {
-			return [type, frame.question];
+		case FrameType.HandoverAck: {
+			return [type, frame.correlationId];
 		}
 	}
 }
@@ -257,7 +257,7 @@
 	}
 
 	target(): OpenTarget {
-		return this.number() === 0 ? OpenTarget.Executor : OpenTarget.KeyHome;
+		return this.number() === 0 ? OpenTarget.Executor : OpenTarget.KeyOwner;
 	}
 
 	private list(): readonly unknown[] {
@@ -328,7 +328,7 @@
 		origin: fields.origin(),
 		fingerprint: fields.text(),
 		share: fields.number(),
-		isBounceable: fields.flag(),
+		canRetryElsewhere: fields.flag(),
 		timeLeft: fields.number(),
 		objectiveLeft: fields.number(),
 		body: fields.optionalBytes(),
@@ -370,37 +370,37 @@
 		reason: fields.reason(),
 	}),
 	[FrameType.Cancel]: (fields) => ({type: FrameType.Cancel, stream: fields.number()}),
-	[FrameType.Ask]: (fields) => ({
-		type: FrameType.Ask,
-		question: fields.number(),
+	[FrameType.AttemptQuery]: (fields) => ({
+		type: FrameType.AttemptQuery,
+		correlationId: fields.number(),
 		sequence: fields.number(),
 	}),
-	[FrameType.Told]: (fields) => ({
-		type: FrameType.Told,
-		question: fields.number(),
+	[FrameType.AttemptStatus]: (fields) => ({
+		type: FrameType.AttemptStatus,
+		correlationId: fields.number(),
 		state: fields.state(),
 	}),
-	[FrameType.Beat]: () => ({type: FrameType.Beat}),
+	[FrameType.Heartbeat]: () => ({type: FrameType.Heartbeat}),
 	[FrameType.Leaving]: () => ({type: FrameType.Leaving}),
 	[FrameType.Load]: (fields) => ({type: FrameType.Load, load: fields.load()}),
 	[FrameType.Fetch]: (fields) => ({
 		type: FrameType.Fetch,
-		question: fields.number(),
+		correlationId: fields.number(),
 		hash: fields.text(),
 	}),
-	[FrameType.Fetched]: (fields) => ({
-		type: FrameType.Fetched,
-		question: fields.number(),
+	[FrameType.FetchResult]: (fields) => ({
+		type: FrameType.FetchResult,
+		correlationId: fields.number(),
 		content: fields.optionalText(),
 	}),
 	[FrameType.Handover]: (fields) => ({
 		type: FrameType.Handover,
-		question: fields.number(),
+		correlationId: fields.number(),
 		records: fields.bytes(),
 	}),
-	[FrameType.HandoverTaken]: (fields) => ({
-		type: FrameType.HandoverTaken,
-		question: fields.number(),
+	[FrameType.HandoverAck]: (fields) => ({
+		type: FrameType.HandoverAck,
+		correlationId: fields.number(),
 	}),
 };
 
--- a/src/link/frame.ts
+++ b/src/link/frame.ts
@@ -23,14 +23,14 @@
 	Refused = 8,
 	Failed = 9,
 	Cancel = 10,
-	Ask = 11,
-	Told = 12,
-	Beat = 13,
+	AttemptQuery = 11,
+	AttemptStatus = 12,
+	Heartbeat = 13,
 	Leaving = 14,
 	Fetch = 15,
-	Fetched = 16,
+	FetchResult = 16,
 	Handover = 17,
-	HandoverTaken = 18,
+	HandoverAck = 18,
 	Load = 19,
 }
 
@@ -66,7 +66,7 @@
 	/** The executor, on its own backend server. */
 	Executor = 0,
 	/** The home of the call's idempotency key, which routes it. */
-	KeyHome = 1,
+	KeyOwner = 1,
 }
 
 /** Starts an attempt on a new stream. */
@@ -85,7 +85,7 @@
 	readonly origin: RequestOrigin;
 	readonly fingerprint: string;
 	readonly share: number;
-	readonly isBounceable: boolean;
+	readonly canRetryElsewhere: boolean;
 	/** How long the caller still waits, in ms. */
 	readonly timeLeft: Millis;
 	/** How long an answer is still in time, in ms. */
@@ -149,20 +149,20 @@
 
 /** Asks what became of an attempt and fences it. */
 export interface AskFrame {
-	readonly type: FrameType.Ask;
-	readonly question: number;
+	readonly type: FrameType.AttemptQuery;
+	readonly correlationId: number;
 	readonly sequence: number;
 }
 
 export interface ToldFrame {
-	readonly type: FrameType.Told;
-	readonly question: number;
+	readonly type: FrameType.AttemptStatus;
+	readonly correlationId: number;
 	readonly state: AttemptState;
 }
 
 /** A sign of life of an idle link. */
 export interface BeatFrame {
-	readonly type: FrameType.Beat;
+	readonly type: FrameType.Heartbeat;
 }
 
 /** The sender takes no new work. */
@@ -179,13 +179,13 @@
 /** Asks for the content of a configuration revision. */
 export interface FetchFrame {
 	readonly type: FrameType.Fetch;
-	readonly question: number;
+	readonly correlationId: number;
 	readonly hash: string;
 }
 
 export interface FetchedFrame {
-	readonly type: FrameType.Fetched;
-	readonly question: number;
+	readonly type: FrameType.FetchResult;
+	readonly correlationId: number;
 	/** Undefined when the sender does not hold it. */
 	readonly content: string | undefined;
 }
@@ -193,13 +193,13 @@
 /** Remembered keys of a node that leaves. */
 export interface HandoverFrame {
 	readonly type: FrameType.Handover;
-	readonly question: number;
+	readonly correlationId: number;
 	readonly records: Uint8Array;
 }
 
 export interface HandoverTakenFrame {
-	readonly type: FrameType.HandoverTaken;
-	readonly question: number;
+	readonly type: FrameType.HandoverAck;
+	readonly correlationId: number;
 }
 
 export type Frame =
--- a/src/link/incoming-attempt.ts
+++ b/src/link/incoming-attempt.ts
@@ -51,7 +51,7 @@
 	 * @returns the attempt as the executor takes it.
 	 */
 	toAttempt(instance: string, now: Millis, staleness: Millis): Attempt {
-		const {sequence, share, isBounceable, timeLeft, objectiveLeft} = this.frame;
+		const {sequence, share, canRetryElsewhere: isBounceable, timeLeft, objectiveLeft} = this.frame;
 		const {service, customer, method, path, headers, isIdempotent, key, fingerprint, origin} =
 			this.frame;
 		return {
--- a/src/link/index.ts
+++ b/src/link/index.ts
@@ -2,5 +2,9 @@
 export {decodeFrame, encodeFrame, FrameDecodeError} from './frame-codec.js';
 export {FrameType, OpenTarget, protocolVersion, type Frame} from './frame.js';
 export {LinkCloseReason, type PeerIdentity} from './link.js';
-export {LinkHub, type HubHost, type HubParts} from './link-hub.js';
+export {
+	LinkHub,
+	type LinkHubDelegate as LinkHubDelegate,
+	type LinkHubDependencies as LinkHubDependencies,
+} from './link-hub.js';
 export {PeerSession} from './peer-session.js';
--- a/src/link/link-hub.ts
+++ b/src/link/link-hub.ts
@@ -8,18 +8,18 @@
 	type AttemptResult,
 	type AttemptRunner,
 } from '../exchange/index.js';
-import {bound} from '../net/index.js';
+import {bindPort} from '../net/index.js';
 import {parseEndpoint} from '../settings/index.js';
 import {logEvents, type Logger, type Metrics, type TrafficKind} from '../telemetry/index.js';
 import {invariant, pause, withResolvers} from '../util/index.js';
 import {FrameType, OpenTarget, type Frame} from './frame.js';
 import {Link, LinkCloseReason, LinkRole, type LinkOwner, type PeerIdentity} from './link.js';
 import {beatPeriod, maxFrameBytes, openTimeout} from './link-limits.js';
-import {PeerSession, type SessionHost} from './peer-session.js';
+import {PeerSession, type PeerSessionDelegate} from './peer-session.js';
 
 /** What the hub needs from its node, besides what each session needs. */
-export interface HubHost extends Omit<
-	SessionHost,
+export interface LinkHubDelegate extends Omit<
+	PeerSessionDelegate,
 	'settleLost' | 'now' | 'after' | 'lateFrame' | 'callStarted'
 > {
 	/** A peer with calls in flight gives no sign of life. */
@@ -29,11 +29,11 @@
 }
 
 /** What a hub is made of. */
-export interface HubParts {
+export interface LinkHubDependencies {
 	readonly owner: Pick<LinkOwner, 'identity' | 'secret' | 'clock'>;
 	/** IP number from which links are opened and on which they are taken. */
 	readonly address: string;
-	readonly host: HubHost;
+	readonly delegate: LinkHubDelegate;
 	readonly metrics: Metrics;
 	readonly logger: Logger;
 }
@@ -50,12 +50,12 @@
 	private readonly opening = new Map<Link, (session: PeerSession | undefined) => void>();
 	private readonly unproved = new Set<Link>();
 	private readonly owner: LinkOwner;
-	private readonly sessionHost: SessionHost;
+	private readonly sessionHost: PeerSessionDelegate;
 	private server: WebSocketServer | undefined;
 	private undoBeat: Undo | undefined;
 	private isStopped = false;
 
-	constructor(private readonly parts: HubParts) {
+	constructor(private readonly parts: LinkHubDependencies) {
 		this.owner = {
 			...parts.owner,
 			linkOpened: (link) => {
@@ -89,7 +89,7 @@
 			this.watchOpening(new Link(socket, LinkRole.Acceptor, this.owner));
 		});
 		this.server = server;
-		await bound(server, (done) => {
+		await bindPort(server, (done) => {
 			server.once('listening', done);
 		});
 	}
@@ -109,7 +109,7 @@
 	 * @param id - address of a peer.
 	 * @returns the open session with it, if there is one; opens none.
 	 */
-	sessionWith(id: string): PeerSession | undefined {
+	getSession(id: string): PeerSession | undefined {
 		return this.sessions.get(id);
 	}
 
@@ -132,12 +132,12 @@
 	 * @param id - address of a peer.
 	 * @returns the incarnation of the peer behind the open link.
 	 */
-	instanceOf(id: string): string | undefined {
+	getPeerInstance(id: string): string | undefined {
 		return this.sessions.get(id)?.link.peer?.instance;
 	}
 
 	/** Tells every linked peer that this node takes no new work. */
-	announceLeaving(): void {
+	broadcastLeaving(): void {
 		for (const session of this.byLink.values()) {
 			session.link.send({type: FrameType.Leaving});
 		}
@@ -148,7 +148,7 @@
 	 * @param load - the load.
 	 * @param isReceiver - tells which peers hear of it, by who they are and whether calls of theirs are here.
 	 */
-	announceLoad(
+	broadcastLoad(
 		load: LoadReport,
 		isReceiver: (peer: PeerIdentity, isWaiting: boolean) => boolean,
 	): void {
@@ -179,23 +179,23 @@
 		return count;
 	}
 
-	private createSessionHost(): SessionHost {
-		const {host, metrics} = this.parts;
+	private createSessionHost(): PeerSessionDelegate {
+		const {delegate: host, metrics} = this.parts;
 		return {
 			now: () => this.owner.clock.now(),
 			after: (delay, run) => this.owner.clock.after(delay, run),
 			staleness: () => host.staleness(),
 			runnerFor: (target) => host.runnerFor(target),
-			askAndFence: (instance, sequence) => host.askAndFence(instance, sequence),
-			contentOf: (hash) => host.contentOf(hash),
-			takeHandover(from, records) {
-				host.takeHandover(from, records);
+			queryAndFence: (instance, sequence) => host.queryAndFence(instance, sequence),
+			getContent: (hash) => host.getContent(hash),
+			acceptHandover(from, records) {
+				host.acceptHandover(from, records);
 			},
 			peerLeaving(id) {
 				host.peerLeaving(id);
 			},
-			peerLoad(id, load) {
-				host.peerLoad(id, load);
+			peerLoadReported(id, load) {
+				host.peerLoadReported(id, load);
 			},
 			callStarted: () => {
 				this.watchLater();
@@ -301,7 +301,7 @@
 		logger.log(event, {peer: link.peer?.id, reason});
 		session?.close();
 		if (link.peer && reason === LinkCloseReason.PeerClosed && !session?.isLeaving) {
-			this.parts.host.peerLost(link.peer.id);
+			this.parts.delegate.peerLost(link.peer.id);
 		}
 	}
 
@@ -317,7 +317,7 @@
 			}
 
 			// eslint-disable-next-line no-await-in-loop
-			const state = await session?.askAndFence(attempt.id.sequence);
+			const state = await session?.queryAndFence(attempt.id.sequence);
 			if (state !== undefined) {
 				return settledBy(state);
 			}
@@ -348,7 +348,7 @@
 				const id = session.link.peer?.id;
 				if (id !== undefined) {
 					this.retire(id, session);
-					this.parts.host.peerSilent(id);
+					this.parts.delegate.peerSilent(id);
 				}
 			}
 		}
--- a/src/link/outgoing-attempt.ts
+++ b/src/link/outgoing-attempt.ts
@@ -86,7 +86,7 @@
 			origin: head.origin,
 			fingerprint: head.fingerprint,
 			share,
-			isBounceable,
+			canRetryElsewhere: isBounceable,
 			timeLeft,
 			objectiveLeft,
 			body: body.bytes,
--- a/src/link/peer-session.ts
+++ b/src/link/peer-session.ts
@@ -15,7 +15,7 @@
 import {LossKind, OutgoingAttempt, type OutgoingHost} from './outgoing-attempt.js';
 
 /** What a session needs from its node. */
-export interface SessionHost extends Omit<OutgoingHost, 'streamEnded'> {
+export interface PeerSessionDelegate extends Omit<OutgoingHost, 'streamEnded'> {
 	/** @returns monotonic time in ms. */
 	now(): Millis;
 	/**
@@ -36,22 +36,22 @@
 	 * @param sequence - number of the attempt.
 	 * @returns what became of the attempt; it is fenced if it has not run.
 	 */
-	askAndFence(instance: string, sequence: number): AttemptState;
+	queryAndFence(instance: string, sequence: number): AttemptState;
 	/**
 	 * @param hash - hash of a configuration's content.
 	 * @returns the content, if this node holds it.
 	 */
-	contentOf(hash: string): string | undefined;
+	getContent(hash: string): string | undefined;
 	/**
 	 * Takes over what a leaving peer remembers.
 	 * @param from - id of the peer.
 	 * @param records - its remembered keys.
 	 */
-	takeHandover(from: string, records: Uint8Array): void;
+	acceptHandover(from: string, records: Uint8Array): void;
 	/** A peer takes no new work. */
 	peerLeaving(id: string): void;
 	/** A peer tells the load of its backend server. */
-	peerLoad(id: string, load: LoadReport): void;
+	peerLoadReported(id: string, load: LoadReport): void;
 	/** An answer came for an attempt that has ended. */
 	lateFrame(): void;
 	/** A call travels on the link from now on. */
@@ -72,7 +72,7 @@
 		readonly link: Link,
 		private readonly instance: string,
 		private readonly peerId: string,
-		private readonly host: SessionHost,
+		private readonly host: PeerSessionDelegate,
 	) {}
 
 	/** Calls that travel on the link now, both ways. */
@@ -134,26 +134,26 @@
 	 * @param sequence - number of the attempt.
 	 * @returns its state; undefined when the link was lost.
 	 */
-	async askAndFence(sequence: number): Promise<AttemptState | undefined> {
-		const frame = await this.ask(FrameType.Told, (question) => ({
-			type: FrameType.Ask,
-			question,
+	async queryAndFence(sequence: number): Promise<AttemptState | undefined> {
+		const frame = await this.ask(FrameType.AttemptStatus, (question) => ({
+			type: FrameType.AttemptQuery,
+			correlationId: question,
 			sequence,
 		}));
-		return frame?.type === FrameType.Told ? frame.state : undefined;
+		return frame?.type === FrameType.AttemptStatus ? frame.state : undefined;
 	}
 
 	/**
 	 * @param hash - hash of a configuration's content.
 	 * @returns the content, if the peer holds it.
 	 */
-	async fetch(hash: string): Promise<string | undefined> {
-		const frame = await this.ask(FrameType.Fetched, (question) => ({
+	async fetchContent(hash: string): Promise<string | undefined> {
+		const frame = await this.ask(FrameType.FetchResult, (question) => ({
 			type: FrameType.Fetch,
-			question,
+			correlationId: question,
 			hash,
 		}));
-		return frame?.type === FrameType.Fetched ? frame.content : undefined;
+		return frame?.type === FrameType.FetchResult ? frame.content : undefined;
 	}
 
 	/**
@@ -162,9 +162,9 @@
 	 * @returns whether the peer has taken them.
 	 */
 	async handOver(records: Uint8Array): Promise<boolean> {
-		const frame = await this.ask(FrameType.HandoverTaken, (question) => ({
+		const frame = await this.ask(FrameType.HandoverAck, (question) => ({
 			type: FrameType.Handover,
-			question,
+			correlationId: question,
 			records,
 		}));
 		return frame !== undefined;
@@ -174,7 +174,7 @@
 	beat(): void {
 		const quiet = this.host.now() - this.link.lastSent;
 		if (this.incoming.size > 0 && quiet >= beatPeriod) {
-			this.link.send({type: FrameType.Beat});
+			this.link.send({type: FrameType.Heartbeat});
 		}
 	}
 
@@ -224,27 +224,27 @@
 				return this.receiveOnStream(frame.stream, frame);
 			}
 
-			case FrameType.Told:
-			case FrameType.Fetched:
-			case FrameType.HandoverTaken: {
-				return this.receiveReply(frame.question, frame);
+			case FrameType.AttemptStatus:
+			case FrameType.FetchResult:
+			case FrameType.HandoverAck: {
+				return this.receiveReply(frame.correlationId, frame);
 			}
 
-			case FrameType.Ask: {
-				const state = this.host.askAndFence(this.instance, frame.sequence);
-				this.link.send({type: FrameType.Told, question: frame.question, state});
+			case FrameType.AttemptQuery: {
+				const state = this.host.queryAndFence(this.instance, frame.sequence);
+				this.link.send({type: FrameType.AttemptStatus, correlationId: frame.correlationId, state});
 				return true;
 			}
 
 			case FrameType.Fetch: {
-				const content = this.host.contentOf(frame.hash);
-				this.link.send({type: FrameType.Fetched, question: frame.question, content});
+				const content = this.host.getContent(frame.hash);
+				this.link.send({type: FrameType.FetchResult, correlationId: frame.correlationId, content});
 				return true;
 			}
 
 			case FrameType.Handover: {
-				this.host.takeHandover(this.peerId, frame.records);
-				this.link.send({type: FrameType.HandoverTaken, question: frame.question});
+				this.host.acceptHandover(this.peerId, frame.records);
+				this.link.send({type: FrameType.HandoverAck, correlationId: frame.correlationId});
 				return true;
 			}
 
@@ -255,11 +255,11 @@
 			}
 
 			case FrameType.Load: {
-				this.host.peerLoad(this.peerId, frame.load);
+				this.host.peerLoadReported(this.peerId, frame.load);
 				return true;
 			}
 
-			case FrameType.Beat: {
+			case FrameType.Heartbeat: {
 				return true;
 			}
 
--- a/src/net/index.ts
+++ b/src/net/index.ts
@@ -1,1 +1,1 @@
-export {bound} from './listen.js';
+export {bindPort as bindPort} from './listen.js';
--- a/src/net/listen.ts
+++ b/src/net/listen.ts
@@ -11,7 +11,10 @@
  * @param bind - starts binding and calls back when it is done.
  * @throws Error of the operating system.
  */
-export async function bound(bindable: Bindable, bind: (done: () => void) => void): Promise<void> {
+export async function bindPort(
+	bindable: Bindable,
+	bind: (done: () => void) => void,
+): Promise<void> {
 	const {promise, resolve} = withResolvers<Error | undefined>();
 	bindable.once('error', resolve);
 	bind(() => {
--- a/src/node/load-news.ts
+++ b/src/node/load-news.ts
@@ -66,7 +66,7 @@
 		const isSlow = load.slowdown >= slowSpell;
 		const isNewSpell = isSlow && !this.wasSlow;
 		this.wasSlow = isSlow;
-		hub.announceLoad(load, (peer, isWaiting) => {
+		hub.broadcastLoad(load, (peer, isWaiting) => {
 			// Who has calls here may have sent them into the spell, and can still send them elsewhere.
 			if (isNewSpell && isWaiting) {
 				return true;
--- a/src/operations/operator-server.ts
+++ b/src/operations/operator-server.ts
@@ -1,6 +1,6 @@
 import {createServer, type IncomingMessage, type Server, type ServerResponse} from 'node:http';
 import {FindingsError} from '../ini/index.js';
-import {bound} from '../net/index.js';
+import {bindPort} from '../net/index.js';
 
 /** An answer to an operator. */
 export interface OperatorReply {
@@ -60,7 +60,7 @@
 	 * @param port - TCP port.
 	 */
 	async listen(address: string, port: number): Promise<void> {
-		await bound(this.server, (done) => {
+		await bindPort(this.server, (done) => {
 			this.server.listen(port, address, done);
 		});
 	}
--- a/src/operator/change-applier.ts
+++ b/src/operator/change-applier.ts
@@ -1,6 +1,6 @@
 import {createActor} from 'xstate';
 import type {Clock, Millis} from '../clock/index.js';
-import {HeadWrite, type DeclarationStore, type HeadRow} from '../control/index.js';
+import {HeadWriteResult, type DeclarationStore, type HeadRow} from '../control/index.js';
 import {
 	ChangeEvent,
 	changeMachine,
@@ -87,7 +87,7 @@
 		const at = this.clock.wallNow();
 		const after = stage(row.head, {hash, author, message, changeId, at});
 		const written = await this.store.replaceHead(row, after, wait);
-		if (written === HeadWrite.Conflict) {
+		if (written === HeadWriteResult.Conflict) {
 			lifecycle.send({type: ChangeEvent.StageConflict});
 			return this.conflict(request);
 		}
@@ -156,7 +156,7 @@
 			return this.pending(revision);
 		}
 
-		const silentZones = await this.store.silentZones(revision);
+		const silentZones = await this.store.unacknowledgedZones(revision);
 		const row = await this.store.readHead();
 		if (row.head.staged?.changeId === request.changeId) {
 			await this.store.withdrawStaged(row, async () => pause(this.clock, retryPeriod));
@@ -170,7 +170,7 @@
 	}
 
 	private async pending(revision: number): Promise<ApplyResult> {
-		const silentZones = await this.store.silentZones(revision);
+		const silentZones = await this.store.unacknowledgedZones(revision);
 		return {...result(ApplyOutcome.Pending, revision), silentZones};
 	}
 
--- a/src/store/guarded-store.ts
+++ b/src/store/guarded-store.ts
@@ -12,7 +12,7 @@
 } from './platform-store.js';
 
 /** What a guarded store is made of. */
-export interface GuardedStoreParts {
+export interface GuardedStoreDependencies {
 	readonly store: TableService & ObjectStore;
 	readonly clock: Clock;
 	readonly random: Random;
@@ -23,7 +23,7 @@
 export class GuardedStore implements TableService, ObjectStore {
 	private readonly breaker: CircuitBreaker;
 
-	constructor(private readonly parts: GuardedStoreParts) {
+	constructor(private readonly parts: GuardedStoreDependencies) {
 		this.breaker = new CircuitBreaker(parts.clock, parts.random);
 	}
 
--- a/src/store/index.ts
+++ b/src/store/index.ts
@@ -1,6 +1,9 @@
-export {GuardedStore, type GuardedStoreParts} from './guarded-store.js';
 export {
-	Expect,
+	GuardedStore,
+	type GuardedStoreDependencies as GuardedStoreDependencies,
+} from './guarded-store.js';
+export {
+	Precondition as Precondition,
 	HistoryLostError,
 	StoreUnavailableError,
 	type ChangePage,
--- a/src/store/platform-store.ts
+++ b/src/store/platform-store.ts
@@ -9,7 +9,7 @@
 }
 
 /** Condition of a write. */
-export enum Expect {
+export enum Precondition {
 	/** The row may be in any state. */
 	Any = 'any',
 	/** The row must not exist. */
@@ -23,8 +23,8 @@
 	readonly key: string;
 	/** The new value; undefined deletes the row. */
 	readonly value: string | undefined;
-	readonly expect: Expect;
-	/** With {@link Expect.Etag}. */
+	readonly expect: Precondition;
+	/** With {@link Precondition.Etag}. */
 	readonly etag?: string;
 	/** Rows that must not exist either. */
 	readonly alsoAbsent?: readonly string[];
--- a/src/wiring/node-core.ts
+++ b/src/wiring/node-core.ts
@@ -6,7 +6,7 @@
 import type {AttemptRunner} from '../exchange/index.js';
 import {Executor, type BackendProtocol} from '../executor/index.js';
 import {CallRunner, type BudgetBursts} from '../ingress/index.js';
-import {LinkHub, OpenTarget, type HubHost} from '../link/index.js';
+import {LinkHub, OpenTarget, type LinkHubDelegate} from '../link/index.js';
 import {
 	createLocalMember,
 	defaultGossipSettings,
@@ -34,8 +34,8 @@
 	/** Whether an earlier process may have acknowledged what the backend server said. */
 	readonly isRestart: boolean;
 	/** A peer tells the load of its backend server. */
-	readonly peerLoad: HubHost['peerLoad'];
-	readonly takeHandover: HubHost['takeHandover'];
+	readonly peerLoad: LinkHubDelegate['peerLoadReported'];
+	readonly takeHandover: LinkHubDelegate['acceptHandover'];
 	/** Runs attempts that are sent to this node as the home of a key. */
 	readonly keyOwnerRunner: AttemptRunner;
 	/** @returns what places calls. */
@@ -276,16 +276,16 @@
 			address,
 			metrics: this.metrics,
 			logger: this.logger,
-			host: {
+			delegate: {
 				staleness: () => this.pauses.staleness(),
 				runnerFor: (target) =>
 					target === OpenTarget.Executor ? this.executor : this.hooks.keyOwnerRunner,
-				askAndFence: (peer, sequence) => this.executor.queryAndFence({instance: peer, sequence}),
-				contentOf: (hash) => this.revisions.contentOf(hash),
-				takeHandover: (from, records) => {
+				queryAndFence: (peer, sequence) => this.executor.queryAndFence({instance: peer, sequence}),
+				getContent: (hash) => this.revisions.contentOf(hash),
+				acceptHandover: (from, records) => {
 					this.hooks.takeHandover(from, records);
 				},
-				peerLoad: (id, load) => {
+				peerLoadReported: (id, load) => {
 					this.hooks.peerLoad(id, load);
 				},
 				peerLeaving: avoid,
--- a/src/wiring/routed-node.ts
+++ b/src/wiring/routed-node.ts
@@ -1,5 +1,10 @@
 import {second, type Clock, type Millis} from '../clock/index.js';
-import {ConfigurationFeed, mustRead, Roster, type ConfigurationSource} from '../control/index.js';
+import {
+	ConfigurationFeed,
+	mustReadStore,
+	Roster,
+	type ConfigurationSource,
+} from '../control/index.js';
 import type {DeclarationIndex} from '../declaration/index.js';
 import {createUnknown} from '../exchange/index.js';
 import {RefusalReason} from '../call/index.js';
@@ -119,12 +124,12 @@
 			clock,
 			random,
 			logger,
-			keeper,
+			revisions: keeper,
 			gossip,
 			hub,
 			store,
 			source,
-			isReader: () => mustRead(gossip, clock),
+			isReader: () => mustReadStore(gossip, clock),
 		});
 		this.probe = new BackendProbe({
 			clock,
@@ -208,7 +213,7 @@
 		await pause(clock, lingerTime - handBackTime);
 		backend.drainNode();
 		gossip.updateLocalMember({phase: MemberPhase.Draining});
-		hub.announceLeaving();
+		hub.broadcastLeaving();
 		gossip.flush();
 		await pause(clock, handBackTime);
 		// The backend server's own calls come in here as long as it works.
@@ -252,7 +257,7 @@
 				this.noteOwnLoad();
 			},
 			handleKnownRevisions: (news, from) => {
-				this.feed.hear(news, from);
+				this.feed.handleKnownRevisions(news, from);
 			},
 			handleHeldRevision: () => undefined,
 			handleRumor: () => undefined,
--- a/src/wiring/turmeric-node.ts
+++ b/src/wiring/turmeric-node.ts
@@ -72,7 +72,7 @@
 			clock,
 			random: this.core.random,
 			logger,
-			keeper,
+			revisions: keeper,
 			gossip,
 			hub,
 			store: this.store && new DeclarationStore(this.store),
@@ -95,7 +95,7 @@
 			runCall: async (call) => runner.run(call),
 		});
 		gossip.registerListener((member) => {
-			this.revisions.noteMember(member);
+			this.revisions.handleMemberChange(member);
 		});
 		registerOperatorRoutes(this.operators, this);
 	}
@@ -138,7 +138,7 @@
 		this.logger.log(logEvents.nodeDraining);
 		backend.drainNode();
 		gossip.updateLocalMember({phase: MemberPhase.Draining});
-		hub.announceLeaving();
+		hub.broadcastLeaving();
 		gossip.flush();
 		this.ingress.drain();
 		await pause(this.clock, lingerTime);
@@ -174,10 +174,10 @@
 			probeSpeed: async () => undefined,
 			handleLoadChanged: () => undefined,
 			handleKnownRevisions: (news, from) => {
-				this.revisions.hear(news, from);
+				this.revisions.handleKnownRevisions(news, from);
 			},
 			handleHeldRevision: (held) => {
-				this.revisions.hearHeld(held);
+				this.revisions.handleHeldReport(held);
 			},
 			handleRumor: (rumor) => {
 				this.homes.handleRumor(rumor);
@@ -265,7 +265,7 @@
 			return;
 		}
 
-		if (this.revisions.isInformed) {
+		if (this.revisions.isCaughtUp) {
 			this.core.markReady();
 			return;
 		}
