--- a/src/declaration/index.ts
+++ b/src/declaration/index.ts
@@ -22,9 +22,9 @@
 export {
 	DeclarationContentError,
 	hashContent,
-	RevisionTracker as RevisionTracker,
+	RevisionTracker,
 	serializeDeclaration,
-	type KnownRevisions as KnownRevisions,
+	type KnownRevisions,
 } from './revision-keeper.js';
 export type {SourceFile} from './template.js';
 export {ChangeEvent, changeMachine, ChangeState} from './change-lifecycle.js';
--- a/src/exchange/index.ts
+++ b/src/exchange/index.ts
@@ -9,11 +9,6 @@
 	type RefusedAttempt,
 	type UnknownAttempt,
 } from './attempt.js';
-export {
-	createStreamBody,
-	createBufferedBody as createBufferedBody,
-	maxInlineBodyBytes as maxInlineBodyBytes,
-	type Body,
-} from './body.js';
+export {createStreamBody, createBufferedBody, maxInlineBodyBytes, type Body} from './body.js';
 export type {Call, CallEnd} from './call.js';
 export {Cancellation} from './cancellation.js';
--- a/src/executor/index.ts
+++ b/src/executor/index.ts
@@ -1,10 +1,6 @@
+export {Executor, type CrashWatch, type ExecutorDependencies} from './executor.js';
 export {
-	Executor,
-	type CrashWatch,
-	type ExecutorDependencies as ExecutorDependencies,
-} from './executor.js';
-export {
-	AnswerKind as AnswerKind,
+	AnswerKind,
 	TurmericBackendProtocol,
 	type AnswerHead,
 	type BackendLoad,
--- a/src/ingress/index.ts
+++ b/src/ingress/index.ts
@@ -1,14 +1,14 @@
 export type {BudgetBursts} from './call-budgets.js';
-export {CallRunner, type CallRunnerDependencies as CallRunnerDependencies} from './call-runner.js';
+export {CallRunner, type CallRunnerDependencies} from './call-runner.js';
 export {
 	RefusedRequestError,
 	type CallerProtocol,
-	type CallParameters as CallParameters,
+	type CallParameters,
 	type RefusalNotice,
 } from './caller-protocol.js';
 export {NearestFirstPlacement} from './nearest-first-placement.js';
 export {TurmericCallerProtocol} from './turmeric-caller-protocol.js';
-export {Ingress, type IngressDependencies as IngressDependencies} from './ingress.js';
+export {Ingress, type IngressDependencies} from './ingress.js';
 export {
 	attemptsHeader,
 	customerHeader,
--- a/src/link/index.ts
+++ b/src/link/index.ts
@@ -2,9 +2,5 @@
 export {decodeFrame, encodeFrame, FrameDecodeError} from './frame-codec.js';
 export {FrameType, OpenTarget, protocolVersion, type Frame} from './frame.js';
 export {LinkCloseReason, type PeerIdentity} from './link.js';
-export {
-	LinkHub,
-	type LinkHubDelegate as LinkHubDelegate,
-	type LinkHubDependencies as LinkHubDependencies,
-} from './link-hub.js';
+export {LinkHub, type LinkHubDelegate, type LinkHubDependencies} from './link-hub.js';
 export {PeerSession} from './peer-session.js';
--- a/src/membership/index.ts
+++ b/src/membership/index.ts
@@ -1,16 +1,16 @@
 export {Directory, memberHash, type MemberListener} from './directory.js';
-export {createLocalMember as createLocalMember, Gossip, type GossipHost} from './gossip.js';
+export {createLocalMember, Gossip, type GossipHost} from './gossip.js';
 export {decodeGossip, encodeGossip, GossipDecodeError} from './gossip-codec.js';
 export {
 	GossipType,
 	RumorKind,
 	type GossipMessage,
-	type HeldRevision as HeldRevision,
+	type HeldRevision,
 	type Rumor,
 } from './gossip-message.js';
 export {defaultGossipSettings, type GossipSettings} from './gossip-settings.js';
 export {
-	compareMemberRecords as compareMemberRecords,
+	compareMemberRecords,
 	isPresent,
 	isRoutable,
 	Liveness,
--- a/src/net/index.ts
+++ b/src/net/index.ts
@@ -1,1 +1,1 @@
-export {bindPort as bindPort} from './listen.js';
+export {bindPort} from './listen.js';
--- a/src/routing/index.ts
+++ b/src/routing/index.ts
@@ -5,11 +5,11 @@
 	StaleReportPolicy,
 } from './baselines.js';
 export {findCandidates, isOtherRegionNeeded, type Candidates} from './candidates.js';
-export type {AttemptOutcome as AttemptOutcome, Placement, PlacementQuery} from './placement.js';
+export type {AttemptOutcome, Placement, PlacementQuery} from './placement.js';
 export {
 	ObjectivePlacement,
-	type ObjectivePlacementDependencies as ObjectivePlacementDependencies,
-	type TransferCosts as TransferCosts,
+	type ObjectivePlacementDependencies,
+	type TransferCosts,
 } from './objective-placement.js';
 export {CallProfiles, isUsualSpeed, type CallProfile} from './call-profiles.js';
 export {WeightedSplit} from './weighted-split.js';
--- a/src/settings/index.ts
+++ b/src/settings/index.ts
@@ -4,5 +4,5 @@
 	type BackendSettings,
 	type BudgetSettings,
 	type NodeSettings,
-	type TransferCostSettings as TransferCostSettings,
+	type TransferCostSettings,
 } from './node-settings.js';
--- a/src/store/index.ts
+++ b/src/store/index.ts
@@ -1,9 +1,6 @@
+export {GuardedStore, type GuardedStoreDependencies} from './guarded-store.js';
 export {
-	GuardedStore,
-	type GuardedStoreDependencies as GuardedStoreDependencies,
-} from './guarded-store.js';
-export {
-	Precondition as Precondition,
+	Precondition,
 	HistoryLostError,
 	StoreUnavailableError,
 	type ChangePage,
--- a/src/util/index.ts
+++ b/src/util/index.ts
@@ -2,4 +2,4 @@
 export {hash32, hash48, hashBytes, rendezvous} from './hash.js';
 export {InvariantError, invariant} from './invariant.js';
 export {pause} from './pause.js';
-export {withResolvers, type Deferred as Deferred} from './with-resolvers.js';
+export {withResolvers, type Deferred} from './with-resolvers.js';
