--- a/src/routing/__tests__/unit/executor-draw.test.ts
+++ b/src/routing/__tests__/unit/executor-sampler.test.ts
@@ -2,7 +2,7 @@
 import {ManualClock, type Millis} from '../../../clock/index.js';
 import {createLocalMember, Directory, MemberPhase, type Member} from '../../../membership/index.js';
 import {createRandom} from '../../../random/index.js';
-import {ExecutorSampler} from '../../executor-draw.js';
+import {ExecutorSampler} from '../../executor-sampler.js';
 import {ObjectivePlacement} from '../../index.js';
 import {createQuery} from '../test-query.js';
 
--- a/src/routing/objective-placement.ts
+++ b/src/routing/objective-placement.ts
@@ -9,7 +9,7 @@
 } from '../membership/index.js';
 import type {Random} from '../random/index.js';
 import {CallProfiles, isUsualSpeed} from './call-profiles.js';
-import {ExecutorSampler} from './executor-draw.js';
+import {ExecutorSampler} from './executor-sampler.js';
 import {expectedLoss, expectedTime} from './expected-time.js';
 import {ExecutorViews, type ExecutorView} from './executor-view.js';
 import type {AttemptOutcome, Placement, PlacementQuery} from './placement.js';
