--- a/src/routing/__tests__/test-query.ts
+++ b/src/routing/__tests__/test-query.ts
@@ -1,8 +1,8 @@
 import type {PlacementQuery} from '../index.js';
 
 /**
- * @param change - what the test wants to be otherwise.
- * @returns a lookup of the service `s` that is in time for 400 ms.
+ * @param change - fields that differ from the default.
+ * @returns a query for the service `s` with an objective of 400 ms.
  */
 export function createQuery(change: Partial<PlacementQuery> = {}): PlacementQuery {
 	return {
--- a/src/routing/__tests__/unit/executor-sampler.test.ts
+++ b/src/routing/__tests__/unit/executor-sampler.test.ts
@@ -8,7 +8,7 @@
 
 const none: ReadonlySet<string> = new Set();
 
-function createWorld(size: number) {
+function createFixture(size: number) {
 	const directory = new Directory();
 	const self = createLocalMember('10.9.0.1:7001', 1, {region: 'r0', zone: 'z0'});
 	const add = (i: number): Member => {
@@ -25,20 +25,22 @@
 }
 
 describe('ExecutorDraw', () => {
-	it('are all members of a small service', () => {
-		const {directory, self, members} = createWorld(40);
-		const drawn = new Set(new ExecutorSampler(directory, self, createRandom(1)).sample('s', none));
-		expect(drawn).toEqual(new Set(members));
+	it('returns all members of a small service', () => {
+		const {directory, self, members} = createFixture(40);
+		const sampled = new Set(
+			new ExecutorSampler(directory, self, createRandom(1)).sample('s', none),
+		);
+		expect(sampled).toEqual(new Set(members));
 	});
 
-	it('are a bounded number of a large one, and each of a distance as often as the others', () => {
-		const {directory, self} = createWorld(107);
-		const candidates = new ExecutorSampler(directory, self, createRandom(1));
+	it('returns a bounded sample of a large service, evenly distributed among the members of a distance', () => {
+		const {directory, self} = createFixture(107);
+		const sampler = new ExecutorSampler(directory, self, createRandom(1));
 		const counts = new Map<Member, number>();
 		for (let i = 0; i < 540; i++) {
-			const drawn = [...candidates.sample('s', none)];
-			expect(drawn.length).toBeLessThanOrEqual(18);
-			for (const member of drawn) {
+			const sampled = [...sampler.sample('s', none)];
+			expect(sampled.length).toBeLessThanOrEqual(18);
+			for (const member of sampled) {
 				counts.set(member, (counts.get(member) ?? 0) + 1);
 			}
 		}
@@ -50,19 +52,19 @@
 		expect(Math.max(...inZone)).toBeLessThan(fair * 1.5);
 	});
 
-	it('hold who told its load last, and nobody who is excluded or gone', () => {
-		const {directory, self, members} = createWorld(107);
-		const candidates = new ExecutorSampler(directory, self, createRandom(1));
+	it('includes the member that reported its load last, unless it is excluded or gone', () => {
+		const {directory, self, members} = createFixture(107);
+		const sampler = new ExecutorSampler(directory, self, createRandom(1));
 		const far = members[105]!;
-		candidates.recordReport(far.id);
-		expect([...candidates.sample('s', none)]).toContain(far);
-		expect([...candidates.sample('s', new Set([far.id]))]).not.toContain(far);
+		sampler.recordReport(far.id);
+		expect([...sampler.sample('s', none)]).toContain(far);
+		expect([...sampler.sample('s', new Set([far.id]))]).not.toContain(far);
 		directory.remove(far.id);
-		expect([...candidates.sample('s', none)]).not.toContain(far);
+		expect([...sampler.sample('s', none)]).not.toContain(far);
 	});
 
-	it('find the only one that serves among many that do not', () => {
-		const {directory, self, members} = createWorld(107);
+	it('finds the only serving member among many draining ones', () => {
+		const {directory, self, members} = createFixture(107);
 		for (const member of members.slice(1)) {
 			directory.merge({...member, version: 2, phase: MemberPhase.Draining});
 		}
@@ -72,8 +74,8 @@
 		]);
 	});
 
-	it('give a member that joins its share of the work within seconds', () => {
-		const {directory, self, add} = createWorld(106);
+	it('sends calls to a member that has just joined', () => {
+		const {directory, self, add} = createFixture(106);
 		const placement = new ObjectivePlacement({
 			random: createRandom(1),
 			clock: new ManualClock(1000),
@@ -88,10 +90,10 @@
 	});
 });
 
-/** Plays a service of a hundred executors whose speed jumps, called by one of many ingresses. */
-function playLargeService(seed: number, isOwn: boolean): number {
+/** Simulates calls from one ingress to 107 executors with random slow periods; returns the answers in time. */
+function simulateLargeService(seed: number, usesPlacement: boolean): number {
 	const clock = new ManualClock(1000);
-	const {directory, members, self} = createWorld(107);
+	const {directory, members, self} = createFixture(107);
 	const placement = new ObjectivePlacement({
 		random: createRandom(1),
 		clock,
@@ -100,13 +102,13 @@
 		costs: {otherZone: 0.02, otherRegion: 0.085},
 		lowestPriority: () => 2,
 	});
-	const spells = createRandom(seed);
-	const chance = createRandom(seed + 100);
+	const slowPeriodRandom = createRandom(seed);
+	const random = createRandom(seed + 100);
 	const near = members.filter(({zone}) => zone === 'z0');
 	const slowdowns = new Map(members.map(({id}) => [id, 1]));
 	clock.repeat(500, () => {
 		for (const {id} of members) {
-			slowdowns.set(id, spells.next() < 0.25 ? 7 : 1);
+			slowdowns.set(id, slowPeriodRandom.next() < 0.25 ? 7 : 1);
 		}
 	});
 	const report = (id: string) => {
@@ -117,13 +119,13 @@
 	let inTime = 0;
 	clock.repeat(40, () => {
 		const query = createQuery();
-		const chosen = isOwn ? placement.choose(query)! : near[chance.below(near.length)]!;
+		const chosen = usesPlacement ? placement.choose(query)! : near[random.below(near.length)]!;
 		const sentAt = clock.now();
-		const work: Millis = 120 * (0.7 + 0.6 * chance.next()) * slowdowns.get(chosen.id)!;
+		const work: Millis = 120 * (0.7 + 0.6 * random.next()) * slowdowns.get(chosen.id)!;
 		placement.recordSent(query, chosen);
 		clock.after(work, () => {
-			const news = {sentAt, load: report(chosen.id), answerBytes: 5000, isFailure: false};
-			placement.recordEnded(query, chosen, news);
+			const outcome = {sentAt, load: report(chosen.id), answerBytes: 5000, isFailure: false};
+			placement.recordEnded(query, chosen, outcome);
 			inTime += clock.now() - sentAt <= 400 ? 1 : 0;
 		});
 	});
@@ -131,8 +133,13 @@
 	return inTime;
 }
 
-describe('placing among a hundred executors', () => {
-	it.each([1, 2, 3])('answers more callers in time than a random one nearby (seed %i)', (seed) => {
-		expect(playLargeService(seed, true)).toBeGreaterThan(playLargeService(seed, false) * 1.03);
-	});
+describe('ObjectivePlacement with a hundred executors', () => {
+	it.each([1, 2, 3])(
+		'answers more calls in time than a random executor in the zone (seed %i)',
+		(seed) => {
+			expect(simulateLargeService(seed, true)).toBeGreaterThan(
+				simulateLargeService(seed, false) * 1.03,
+			);
+		},
+	);
 });
--- a/src/routing/__tests__/unit/objective-placement.test.ts
+++ b/src/routing/__tests__/unit/objective-placement.test.ts
@@ -16,7 +16,7 @@
 };
 const costs = {otherZone: 0.02, otherRegion: 0.085};
 
-function createWorld() {
+function createFixture() {
 	const clock = new ManualClock(1000);
 	const directory = new Directory();
 	const self = createLocalMember('10.0.0.1:7001', 1, {region: 'r1', zone: 'a'});
@@ -46,13 +46,13 @@
 }
 
 describe('ObjectivePlacement', () => {
-	it('stays in the zone while that answers in time', () => {
-		const {placement, near} = createWorld();
+	it('stays in the zone while it answers in time', () => {
+		const {placement, near} = createFixture();
 		expect(placement.choose(createQuery())).toBe(near);
 	});
 
-	it('leaves the zone for the answer that would be late, and comes back when the news is old', () => {
-		const {placement, clock, near, zone} = createWorld();
+	it('leaves the zone when an answer would be late, and returns once the load report is outdated', () => {
+		const {placement, clock, near, zone} = createFixture();
 		placement.recordLoad('near', {...usual, slowdown: 7});
 		placement.recordLoad('zone', usual);
 		expect(placement.choose(createQuery())).toBe(zone);
@@ -60,8 +60,8 @@
 		expect(placement.choose(createQuery())).toBe(near);
 	});
 
-	it('crosses the paid link for an urgent request and not for a cheap one', () => {
-		const {placement, region} = createWorld();
+	it('uses another region for an urgent request but not for one of low priority', () => {
+		const {placement, region} = createFixture();
 		for (const id of ['near', 'zone']) {
 			placement.recordLoad(id, {...usual, inFlight: 9, queued: 18});
 		}
@@ -72,8 +72,8 @@
 		expect(placement.choose(createQuery({...kind, priority: 2}))).not.toBe(region);
 	});
 
-	it('counts its own calls at once, before any report', () => {
-		const {placement, near, zone} = createWorld();
+	it('counts its own attempts in flight without a load report', () => {
+		const {placement, near, zone} = createFixture();
 		for (let i = 0; i < 30; i++) {
 			placement.recordSent(createQuery(), near);
 		}
@@ -81,28 +81,28 @@
 		expect(placement.choose(createQuery())).toBe(zone);
 	});
 
-	it('gives no second attempt to a call that is not overdue', () => {
-		const {placement, near} = createWorld();
+	it('hedges a call only when it is overdue', () => {
+		const {placement, near} = createFixture();
 		const excluded = new Set(['near']);
 		expect(placement.hedgeExecutor(createQuery({excluded}), near, 50)).toBeUndefined();
 		const late = createQuery({objectiveLeft: 200, excluded});
 		expect(placement.hedgeExecutor(late, near, 200)?.id).toBe('zone');
 	});
 
-	it('gives a second attempt at once to a call that was sent into a slow spell', () => {
-		const {placement, clock, near, zone} = createWorld();
+	it('hedges a call at once when a slow period at its start is reported', () => {
+		const {placement, clock, near, zone} = createFixture();
 		clock.advance(30);
 		placement.recordLoad('near', {...usual, slowdown: 7});
 		placement.recordLoad('zone', usual);
 		clock.advance(10);
 		const query = createQuery({objectiveLeft: 360});
 		expect(placement.hedgeExecutor(query, near, 40)).toBe(zone);
-		// The spell was known before this one was sent.
+		// The slow period was known before this attempt was sent.
 		expect(placement.hedgeExecutor(query, near, 5)).toBeUndefined();
 	});
 
-	it('waits for an executor only when there is none', () => {
-		const {placement, directory} = createWorld();
+	it('waits for an executor only if there is none', () => {
+		const {placement, directory} = createFixture();
 		expect(placement.maxWaitForExecutor(createQuery())).toBe(0);
 		for (const id of ['near', 'zone', 'region']) {
 			directory.remove(id);
@@ -113,20 +113,20 @@
 	});
 
 	it.each([1, 2, 3])(
-		'answers more callers in time than the nearest or a random executor (seed %i)',
+		'answers more calls in time than the nearest or a random executor (seed %i)',
 		(seed) => {
-			const own = playSpells(seed, 'own');
-			expect(own).toBeGreaterThan(playSpells(seed, 'random') * 1.1);
-			expect(own).toBeGreaterThan(playSpells(seed, 'nearest') * 1.1);
+			const placed = simulateSlowPeriods(seed, 'placement');
+			expect(placed).toBeGreaterThan(simulateSlowPeriods(seed, 'random') * 1.1);
+			expect(placed).toBeGreaterThan(simulateSlowPeriods(seed, 'nearest') * 1.1);
 		},
 	);
 });
 
-/** Plays executors whose speed jumps; each call keeps the speed at which it starts. */
-function playSpells(seed: number, policy: 'own' | 'random' | 'nearest'): number {
-	const {clock, placement, near, zone, region} = createWorld();
-	const spells = createRandom(seed);
-	const chance = createRandom(seed + 100);
+/** Simulates executors with random slow periods; each call keeps the speed at which it starts. */
+function simulateSlowPeriods(seed: number, policy: 'placement' | 'random' | 'nearest'): number {
+	const {clock, placement, near, zone, region} = createFixture();
+	const slowPeriodRandom = createRandom(seed);
+	const random = createRandom(seed + 100);
 	const members = [near, zone, region];
 	const slowdowns = new Map(members.map(({id}) => [id, 1]));
 	const running = new Map(members.map(({id}) => [id, 0]));
@@ -138,7 +138,7 @@
 	let inTime = 0;
 	clock.repeat(500, () => {
 		for (const {id} of members) {
-			slowdowns.set(id, spells.next() < 0.25 ? 7 : 1);
+			slowdowns.set(id, slowPeriodRandom.next() < 0.25 ? 7 : 1);
 		}
 	});
 	clock.repeat(100, () => {
@@ -149,16 +149,16 @@
 	const start = () => {
 		const query = createQuery();
 		const chosen = {
-			own: placement.choose(query),
-			random: members[chance.below(3)],
+			placement: placement.choose(query),
+			random: members[random.below(3)],
 			nearest: near,
 		}[policy]!;
 		const sentAt = clock.now();
-		const work: Millis = 120 * (0.7 + 0.6 * chance.next()) * slowdowns.get(chosen.id)!;
-		const crowded = running.get(chosen.id)! >= 9 ? 3 : 1;
+		const work: Millis = 120 * (0.7 + 0.6 * random.next()) * slowdowns.get(chosen.id)!;
+		const saturation = running.get(chosen.id)! >= 9 ? 3 : 1;
 		running.set(chosen.id, running.get(chosen.id)! + 1);
 		placement.recordSent(query, chosen);
-		clock.after(work * crowded, () => {
+		clock.after(work * saturation, () => {
 			running.set(chosen.id, running.get(chosen.id)! - 1);
 			const load = report(chosen.id);
 			placement.recordEnded(query, chosen, {sentAt, load, answerBytes: 5000, isFailure: false});
--- a/src/routing/__tests__/unit/second-attempts.test.ts
+++ b/src/routing/__tests__/unit/second-attempts.test.ts
@@ -7,23 +7,23 @@
 
 const executors = 12;
 const slots = 9;
-const spell: Millis = 500;
-const slowness = 7;
+const slowPeriod: Millis = 500;
+const slowPeriodSlowdown = 7;
 const slowShare = 0.25;
 const work: Millis = 120;
 const objective: Millis = 400;
 const timeout: Millis = 800;
 const spacing: Millis = 10;
-const played: Millis = 30_000;
+const simulatedTime: Millis = 30_000;
 const hedgeShare = 0.08;
 const place = {region: 'r', zone: 'z'};
 
 type Executor = {member: Member; slowdown: number; running: Set<Run>};
-type Run = {executor: Executor; sentAt: Millis; undo: () => void};
+type Run = {executor: Executor; sentAt: Millis; cancel: () => void};
 type Call = {startedAt: Millis; isHedged: boolean; runs: Set<Run>};
 
-/** Executors of one zone whose speed jumps; a run keeps the speed at which it starts. */
-class World {
+/** Executors of one zone with random slow periods; a run keeps the speed at which it starts. */
+class Simulation {
 	inTime = 0;
 	lost = 0;
 	private readonly clock = new ManualClock(1000);
@@ -31,19 +31,19 @@
 	private readonly placement: ObjectivePlacement;
 	private readonly executors: Executor[] = [];
 	private readonly calls = new Set<Call>();
-	private readonly spells: Random;
-	private readonly chance: Random;
+	private readonly slowPeriodRandom: Random;
+	private readonly random: Random;
 	private budget = 0;
 
 	constructor(
 		seed: number,
 		private readonly isHedging: boolean,
 	) {
-		this.spells = createRandom(seed);
-		this.chance = createRandom(seed + 100);
+		this.slowPeriodRandom = createRandom(seed);
+		this.random = createRandom(seed + 100);
 		for (let i = 0; i < executors; i++) {
-			const account = createLocalMember(`10.0.0.${i + 1}:7001`, 1, place);
-			const member = {...account, phase: MemberPhase.Serving, service: 's', slots};
+			const base = createLocalMember(`10.0.0.${i + 1}:7001`, 1, place);
+			const member = {...base, phase: MemberPhase.Serving, service: 's', slots};
 			this.directory.merge(member);
 			this.executors.push({member, slowdown: 1, running: new Set()});
 		}
@@ -58,13 +58,13 @@
 		});
 	}
 
-	play(): void {
-		this.clock.repeat(spell, () => {
+	simulate(): void {
+		this.clock.repeat(slowPeriod, () => {
 			for (const executor of this.executors) {
-				executor.slowdown = this.spells.next() < slowShare ? slowness : 1;
+				executor.slowdown = this.slowPeriodRandom.next() < slowShare ? slowPeriodSlowdown : 1;
 			}
 		});
-		// Each executor tells its load now and then; answers tell it besides.
+		// Each executor reports its load every 60 ms, and with each answer.
 		this.clock.repeat(60, () => {
 			for (const executor of this.executors) {
 				this.placement.recordLoad(executor.member.id, this.report(executor));
@@ -75,7 +75,7 @@
 		this.clock.repeat(spacing, () => {
 			this.start();
 		});
-		this.clock.advance(played);
+		this.clock.advance(simulatedTime);
 	}
 
 	private report({running, slowdown}: Executor): LoadReport {
@@ -113,17 +113,17 @@
 		const query = this.query(call);
 		const {id} = this.placement.choose(query)!;
 		const executor = this.executors.find(({member}) => member.id === id)!;
-		const span = work * (0.7 + 0.6 * this.chance.next()) * executor.slowdown;
+		const duration = work * (0.7 + 0.6 * this.random.next()) * executor.slowdown;
 		const run: Run = {
 			executor,
 			sentAt: this.clock.now(),
-			undo: this.clock.after(span, () => {
+			cancel: this.clock.after(duration, () => {
 				this.inTime += this.clock.now() - call.startedAt <= objective ? 1 : 0;
 				call.runs.delete(run);
 				executor.running.delete(run);
 				const load = this.report(executor);
-				const news = {sentAt: run.sentAt, load, answerBytes: 5000, isFailure: false};
-				this.placement.recordEnded(query, executor.member, news);
+				const outcome = {sentAt: run.sentAt, load, answerBytes: 5000, isFailure: false};
+				this.placement.recordEnded(query, executor.member, outcome);
 				this.end(call);
 			}),
 		};
@@ -151,24 +151,29 @@
 	private end(call: Call): void {
 		this.calls.delete(call);
 		for (const run of call.runs) {
-			run.undo();
+			run.cancel();
 			run.executor.running.delete(run);
-			const news = {sentAt: run.sentAt, load: undefined, answerBytes: undefined, isFailure: false};
-			this.placement.recordEnded(this.query(call), run.executor.member, news);
+			const outcome = {
+				sentAt: run.sentAt,
+				load: undefined,
+				answerBytes: undefined,
+				isFailure: false,
+			};
+			this.placement.recordEnded(this.query(call), run.executor.member, outcome);
 		}
 
 		call.runs.clear();
 	}
 }
 
-describe('second attempts', () => {
+describe('Hedging by ObjectivePlacement', () => {
 	it.each([1, 2, 3, 4])(
-		'answer in time most of the calls that were sent into a slow spell (seed %i)',
+		'reduces late calls to less than half and lost calls to less than a quarter (seed %i)',
 		(seed) => {
-			const [plain, hedged] = [new World(seed, false), new World(seed, true)];
-			plain.play();
-			hedged.play();
-			const calls = played / spacing;
+			const [plain, hedged] = [new Simulation(seed, false), new Simulation(seed, true)];
+			plain.simulate();
+			hedged.simulate();
+			const calls = simulatedTime / spacing;
 			expect(calls - hedged.inTime).toBeLessThan((calls - plain.inTime) / 2);
 			expect(hedged.lost).toBeLessThan(plain.lost / 4);
 		},
--- a/src/routing/__tests__/unit/weighted-split.test.ts
+++ b/src/routing/__tests__/unit/weighted-split.test.ts
@@ -18,7 +18,7 @@
 }
 
 describe('WeightedSplit', () => {
-	it('gives each target its share, never off by more than one request', () => {
+	it('keeps each target within one request per target of its exact share', () => {
 		const weights = fc.array(fc.integer({min: 1, max: 100}), {minLength: 1, maxLength: 5});
 		fc.assert(
 			fc.property(weights, (drawn) => {
@@ -43,7 +43,7 @@
 		expect([...chosen]).toEqual(['s1']);
 	});
 
-	it('follows new weights at once', () => {
+	it('applies changed weights at once', () => {
 		const split = new WeightedSplit();
 		split.choose(createRoute([1, 1]));
 		const changed = createRoute([1, 9]);
--- a/src/routing/baselines.ts
+++ b/src/routing/baselines.ts
@@ -4,7 +4,7 @@
 import type {Random} from '../random/index.js';
 import type {RoutingPolicy, RoutingQuery} from './routing-policy.js';
 
-/** Chooses by chance. */
+/** Chooses a candidate at random. */
 export class RandomPolicy implements RoutingPolicy {
 	constructor(private readonly random: Random) {}
 
@@ -13,15 +13,15 @@
 	}
 
 	recordSent(): void {
-		// Chance has no memory.
+		// Random choice keeps no state.
 	}
 
 	recordEnded(): void {
-		// Chance has no memory.
+		// Random choice keeps no state.
 	}
 }
 
-/** Takes the candidates in turn. */
+/** Chooses the candidates in turn. */
 export class RoundRobinPolicy implements RoutingPolicy {
 	private next = 0;
 
@@ -31,15 +31,15 @@
 	}
 
 	recordSent(): void {
-		// The turn does not depend on it.
+		// Round robin does not depend on attempts.
 	}
 
 	recordEnded(): void {
-		// The turn does not depend on it.
+		// Round robin does not depend on attempts.
 	}
 }
 
-/** Takes the candidate with the fewest attempts of this ingress in flight. */
+/** Chooses the candidate with the fewest attempts of this ingress in flight. */
 export class LeastOutstandingPolicy implements RoutingPolicy {
 	private readonly outstanding = new Map<string, number>();
 
@@ -71,7 +71,7 @@
 	}
 }
 
-/** Takes the candidate whose last report shows the least load, however old the report is. */
+/** Chooses the candidate with the least load in its last report, regardless of the age of the report. */
 export class StaleReportPolicy implements RoutingPolicy {
 	private readonly reports = new Map<string, LoadReport>();
 
@@ -87,7 +87,7 @@
 	}
 
 	recordSent(): void {
-		// Only reports count.
+		// Only load reports are considered.
 	}
 
 	recordEnded(id: string, _sentAt: Millis, load: LoadReport | undefined): void {
--- a/src/routing/call-profiles.ts
+++ b/src/routing/call-profiles.ts
@@ -1,6 +1,6 @@
 import type {Millis} from '../clock/index.js';
 
-/** What calls of one kind take on the mean. */
+/** Mean cost of the calls of one kind. */
 export interface CallProfile {
 	/** Time at the backend server at its usual speed, in ms. */
 	readonly work: Millis;
@@ -9,41 +9,42 @@
 
 type Entry = {work: Millis; answerBytes: number; samples: number};
 
-/** Weight of one sample; about the last 20 count. */
+/** Weight of one sample in the moving mean; it covers about the last 20 samples. */
 const sampleWeight = 0.05;
-/** Before the first sample: objectives are set at a few times the usual time. */
-const objectiveShare = 0.3;
+/** Assumed work before the first sample, relative to the objective: objectives are set to a few times the usual run time. */
+const initialWorkShare = 0.3;
 const defaultAnswerBytes = 2000;
 const maxKinds = 20_000;
-/** Slowdown up to which a run time counts as one at the usual speed. */
-const usualSpeed = 1.3;
+/** Slowdown up to which a run counts as one at the usual speed. */
+const maxUsualSlowdown = 1.3;
 
 /**
- * @param slowdown - how many times longer than usual work took.
- * @returns whether the run is a sample of what such calls take.
+ * @param slowdown - duration of work relative to its usual duration.
+ * @returns whether the run is a valid sample for the profile of its kind.
  */
 export function isUsualSpeed(slowdown: number): boolean {
-	return slowdown <= usualSpeed;
+	return slowdown <= maxUsualSlowdown;
 }
 
-/** Learns what calls of each kind take. */
+/** Moving means of the cost of calls by kind. */
 export class CallProfiles {
 	private readonly entries = new Map<string, Entry>();
 
 	/**
 	 * @param kind - a kind of call.
-	 * @param objective - how long an answer of this kind is in time, in ms.
-	 * @returns what such a call takes.
+	 * @param objective - latency objective of this kind, in ms; determines the estimate before the first sample.
+	 * @returns the expected cost of such a call.
 	 */
 	of(kind: string, objective: Millis): CallProfile {
 		const entry = this.entries.get(kind);
-		return entry ?? {work: objective * objectiveShare, answerBytes: defaultAnswerBytes};
+		return entry ?? {work: objective * initialWorkShare, answerBytes: defaultAnswerBytes};
 	}
 
 	/**
+	 * Adds a sample. Kinds beyond the maximum number are not recorded.
 	 * @param kind - a kind of call.
-	 * @param work - time of a call at the usual speed, in ms.
-	 * @param answerBytes - bytes of its answer.
+	 * @param work - run time of a call at the usual speed, in ms.
+	 * @param answerBytes - size of its answer in bytes.
 	 */
 	add(kind: string, work: Millis, answerBytes: number): void {
 		const entry = this.entries.get(kind);
--- a/src/routing/candidates.ts
+++ b/src/routing/candidates.ts
@@ -7,19 +7,19 @@
 	type Member,
 } from '../membership/index.js';
 
-/** Candidates for one call, by how far they are. */
+/** Candidates for one call, by distance. */
 export interface Candidates {
 	readonly near: readonly Member[];
-	/** Members of other regions, which are reached over paid links. */
+	/** Members of other regions, which are reached over links that cost money. */
 	readonly far: readonly Member[];
 }
 
 /**
  * @param directory - all known members.
- * @param self - the member that chooses.
+ * @param self - the local member.
  * @param service - the service that is called.
  * @param excluded - members that have been tried already.
- * @returns the members that can be given the call.
+ * @returns the members that the call can be sent to.
  */
 export function findCandidates(
 	directory: Directory,
@@ -41,14 +41,14 @@
 	return {near, far};
 }
 
-/** Share of the time left that an answer may be expected to need. */
-const safeShare = 0.8;
+/** Maximum expected time of an answer, as a share of the time left. */
+const maxTimeLeftShare = 0.8;
 
 /**
- * @param expected - time that the best candidate of the region is expected to need, in ms.
- * @param timeLeft - how long the caller still waits, in ms.
- * @returns whether the deadline demands a backend server of another region.
+ * @param expected - expected time of the best candidate in the local region, in ms.
+ * @param timeLeft - time until the deadline of the call, in ms.
+ * @returns whether meeting the deadline requires a backend server in another region.
  */
 export function isOtherRegionNeeded(expected: Millis, timeLeft: Millis): boolean {
-	return expected > timeLeft * safeShare;
+	return expected > timeLeft * maxTimeLeftShare;
 }
--- a/src/routing/executor-sampler.ts
+++ b/src/routing/executor-sampler.ts
@@ -7,32 +7,33 @@
 } from '../membership/index.js';
 import type {Random} from '../random/index.js';
 
-/** Most members of a service that one choice looks at, by distance. */
-const mostDrawn: Readonly<Record<Distance, number>> = {
+/** Maximum number of members of a large service that one choice evaluates, by distance. */
+const maxSampled: Readonly<Record<Distance, number>> = {
 	[Distance.SameZone]: 8,
 	[Distance.SameRegion]: 4,
 	[Distance.OtherRegion]: 2,
 };
-/** Members that told their load last; what is known of them is fresh. */
-const mostFresh = 4;
-/** Up to so many members of a service are all looked at. */
-const smallService = 40;
+/** Number of members with the latest load reports that are also evaluated, as their state is best known. */
+const maxRecentReporters = 4;
+/** Services with up to this number of members are evaluated in full. */
+const maxSmallServiceSize = 40;
 
-type Rings = {
+type ServiceMembers = {
 	readonly revision: number;
 	readonly size: number;
 	readonly byDistance: ReadonlyArray<readonly Member[]>;
 };
 
 /**
- * Draws the members among which a call is placed. Of a small service these are all; of a large one a
- * few of each distance, drawn at random so that all get work, and those that told their load
- * last. Answers a deployment with a hundred executors of a service, where looking at each costs more
- * processor time than the rest of the call and most of what is known of them is old.
+ * Samples the members that are evaluated for a call. In a small service these are all routable members.
+ * In a large service they are a few of each distance, chosen at random so that every member receives
+ * calls, plus the members that reported their load last. With a hundred executors of a service,
+ * evaluating each would cost more CPU time than the rest of the call, and most of their load reports
+ * are out of date.
  */
 export class ExecutorSampler {
-	private readonly rings = new Map<string, Rings>();
-	private readonly fresh = new Map<string, string[]>();
+	private readonly serviceMembers = new Map<string, ServiceMembers>();
+	private readonly recentReporters = new Map<string, string[]>();
 
 	constructor(
 		private readonly directory: Directory,
@@ -42,47 +43,47 @@
 
 	/**
 	 * @param service - name of a service.
-	 * @param excluded - members that must not be among them.
-	 * @returns members that may be given work.
+	 * @param excluded - ids of members to leave out.
+	 * @returns the sampled routable members.
 	 */
 	sample(service: string, excluded: ReadonlySet<string>): Iterable<Member> {
-		const {size, byDistance} = this.ringsOf(service);
-		const mayServe = (member: Member) => isRoutable(member) && !excluded.has(member.id);
-		const drawn = new Set<Member>();
-		const isSmall = size <= smallService;
+		const {size, byDistance} = this.membersOf(service);
+		const canServe = (member: Member) => isRoutable(member) && !excluded.has(member.id);
+		const sampled = new Set<Member>();
+		const isSmall = size <= maxSmallServiceSize;
 		for (const distance of [Distance.SameZone, Distance.SameRegion, Distance.OtherRegion]) {
-			const most = isSmall ? smallService : mostDrawn[distance];
-			this.drawFrom(byDistance[distance]!, most, mayServe, drawn);
+			const limit = isSmall ? maxSmallServiceSize : maxSampled[distance];
+			this.sampleFrom(byDistance[distance]!, limit, canServe, sampled);
 		}
 
 		if (isSmall) {
-			return drawn;
+			return sampled;
 		}
 
-		for (const id of this.fresh.get(service) ?? []) {
+		for (const id of this.recentReporters.get(service) ?? []) {
 			const member = this.directory.get(id);
-			if (member?.service === service && mayServe(member)) {
-				drawn.add(member);
+			if (member?.service === service && canServe(member)) {
+				sampled.add(member);
 			}
 		}
 
-		return drawn;
+		return sampled;
 	}
 
 	/**
-	 * A member has told its load.
+	 * Records that a member has reported its load.
 	 * @param id - the member.
 	 */
 	recordReport(id: string): void {
 		const service = this.directory.get(id)?.service;
 		if (service !== undefined) {
-			const others = (this.fresh.get(service) ?? []).filter((other) => other !== id);
-			this.fresh.set(service, [id, ...others.slice(0, mostFresh - 1)]);
+			const others = (this.recentReporters.get(service) ?? []).filter((other) => other !== id);
+			this.recentReporters.set(service, [id, ...others.slice(0, maxRecentReporters - 1)]);
 		}
 	}
 
-	private ringsOf(service: string): Rings {
-		const known = this.rings.get(service);
+	private membersOf(service: string): ServiceMembers {
+		const known = this.serviceMembers.get(service);
 		const {changeCount: revision} = this.directory;
 		if (known?.revision === revision) {
 			return known;
@@ -99,25 +100,25 @@
 			size += 1;
 		}
 
-		const rings = {revision, size, byDistance};
-		this.rings.set(service, rings);
-		return rings;
+		const serviceMembers = {revision, size, byDistance};
+		this.serviceMembers.set(service, serviceMembers);
+		return serviceMembers;
 	}
 
-	// Those that cannot serve are passed over, so that a ring full of them does not hide the rest.
-	private drawFrom(
+	// Members that cannot serve are skipped without counting, so that many of them do not hide the others.
+	private sampleFrom(
 		members: readonly Member[],
-		most: number,
-		mayServe: (member: Member) => boolean,
-		drawn: Set<Member>,
+		limit: number,
+		canServe: (member: Member) => boolean,
+		sampled: Set<Member>,
 	): void {
 		const start = members.length > 0 ? this.random.below(members.length) : 0;
-		let taken = 0;
-		for (let i = 0; i < members.length && taken < most; i++) {
+		let count = 0;
+		for (let i = 0; i < members.length && count < limit; i++) {
 			const member = members[(start + i) % members.length]!;
-			if (mayServe(member)) {
-				drawn.add(member);
-				taken += 1;
+			if (canServe(member)) {
+				sampled.add(member);
+				count += 1;
 			}
 		}
 	}
--- a/src/routing/executor-view.ts
+++ b/src/routing/executor-view.ts
@@ -1,17 +1,17 @@
 import type {LoadReport} from '../call/index.js';
 import type {Millis} from '../clock/index.js';
 
-/** What one ingress knows of one executor. */
+/** State of one executor as known to one ingress. */
 export interface ExecutorView {
 	load: LoadReport | undefined;
 	reportedAt: Millis;
-	/** Attempts of this ingress that have been sent and not ended. */
+	/** Number of attempts of this ingress that are in flight. */
 	outstanding: number;
-	/** Attempts of this ingress that were out when the report came. */
+	/** Number of attempts of this ingress that were in flight when the load report arrived. */
 	outstandingAtReport: number;
-	/** Sum of the times at which the outstanding attempts were sent, in ms. */
+	/** Sum of the send times of the outstanding attempts, in ms. */
 	sentAtSum: Millis;
-	/** Until then the executor gets no work where another can take it. */
+	/** Time until which the executor is chosen only if no other is available. */
 	avoidUntil: Millis;
 }
 
@@ -26,13 +26,13 @@
 	};
 }
 
-/** What one ingress knows of all executors. */
+/** State of all executors as known to one ingress. */
 export class ExecutorViews {
 	private readonly views = new Map<string, ExecutorView>();
 
 	/**
 	 * @param id - an executor.
-	 * @returns what is known of it; an empty view when nothing is.
+	 * @returns its state; created empty if it is unknown.
 	 */
 	of(id: string): ExecutorView {
 		let view = this.views.get(id);
@@ -44,14 +44,14 @@
 		return view;
 	}
 
-	/** An attempt goes to an executor. */
+	/** Records that an attempt is sent to an executor. */
 	recordSent(id: string, now: Millis): void {
 		const view = this.of(id);
 		view.outstanding += 1;
 		view.sentAtSum += now;
 	}
 
-	/** An attempt that was sent has ended. */
+	/** Records the end of an attempt that was sent. */
 	recordEnded(id: string, sentAt: Millis): void {
 		const view = this.of(id);
 		if (view.outstanding > 0) {
@@ -60,7 +60,7 @@
 		}
 	}
 
-	/** An executor has told its load; one without slots has no backend server and tells nothing. */
+	/** Records a load report. Ignores a report without slots, as that executor has no backend server. */
 	recordLoad(id: string, load: LoadReport, now: Millis): void {
 		if (load.slots > 0) {
 			const view = this.of(id);
@@ -70,7 +70,7 @@
 		}
 	}
 
-	/** An executor is gone. */
+	/** Removes an executor that is gone. */
 	forget(id: string): void {
 		this.views.delete(id);
 	}
--- a/src/routing/expected-time.ts
+++ b/src/routing/expected-time.ts
@@ -1,39 +1,40 @@
 import type {Millis} from '../clock/index.js';
 
-/** What the time of a call at an executor depends on. */
+/** Input of the expected time of a call at an executor. */
 export interface ExpectedTimeInput {
-	/** Time that the call takes at the usual speed, in ms. */
+	/** Run time of the call at the usual speed, in ms. */
 	readonly work: Millis;
-	/** How many times longer than usual work takes there now. */
+	/** Current duration of work there, relative to its usual duration. */
 	readonly slowdown: number;
-	/** Calls that run or wait there. */
+	/** Number of calls that are running or queued there. */
 	readonly load: number;
 	readonly slots: number;
-	/** Time that request and answer are on the way, in ms. */
+	/** Network round-trip time, in ms. */
 	readonly roundTrip: Millis;
 }
 
-/** What is left of a slow spell on the mean. Source: spells of about half a second on shared hosts. */
-const spellLeft: Millis = 300;
-/** Share of busy slots from which on calls slow each other down. Source: the users' sheets. */
-const crowdedShare = 0.8;
-/** How much longer calls take on a crowded backend server. Source: between 1 and 1.7 on the sheets. */
-const crowdedSlowdown = 1.2;
+/** Mean remaining time of a slow period; slow periods last about half a second on shared hosts. */
+const slowPeriodLeft: Millis = 300;
+/** Share of busy slots above which calls slow each other down. */
+const saturatedShare = 0.8;
+/** Assumed slowdown of calls at a saturated backend server; it ranges from 1 to 1.7. */
+const saturatedSlowdown = 1.2;
 
 /**
- * @param parts - what the time depends on.
- * @returns time until the answer is here, in ms; the executor holds a call for the end of a slow
- * spell where that is faster.
+ * @param input - the call and the state of the executor.
+ * @returns expected time until the answer arrives, in ms. The executor delays a call until the end of a
+ * slow period where that is faster.
  */
-export function expectedTime(parts: ExpectedTimeInput): Millis {
-	const {work, slowdown, load, slots, roundTrip} = parts;
-	const isCrowded = (load + 1) / slots > crowdedShare;
-	const run = Math.min(work * slowdown, spellLeft + work) * (isCrowded ? crowdedSlowdown : 1);
+export function expectedTime(input: ExpectedTimeInput): Millis {
+	const {work, slowdown, load, slots, roundTrip} = input;
+	const isSaturated = (load + 1) / slots > saturatedShare;
+	const run =
+		Math.min(work * slowdown, slowPeriodLeft + work) * (isSaturated ? saturatedSlowdown : 1);
 	const ahead = Math.max(0, load + 1 - slots);
 	return roundTrip + run + (ahead / slots) * run;
 }
 
-/** What an answer loses by coming late. */
+/** Input of the expected loss of an answer's value. */
 export interface LatenessInput {
 	readonly expected: Millis;
 	readonly objectiveLeft: Millis;
@@ -41,26 +42,26 @@
 }
 
 /**
- * Part of an answer's value that is lost when it is late. The sheets give a tenth of the worth to late
- * answers and count besides who is served at all.
+ * Part of an answer's value that is lost when it misses its objective. A late answer has a tenth of the
+ * value of one in time, and whether a call is served at all counts in addition.
  */
 const lateLoss = 0.75;
-/** Spread of run times, relative to their mean, and the least spread in ms. */
+/** Spread of run times relative to their mean, and the minimum spread in ms. */
 const relativeSpread = 0.2;
-const leastSpread: Millis = 5;
+const minSpread: Millis = 5;
 
-function chanceOfMissing(expected: Millis, limit: Millis): number {
-	const spread = relativeSpread * expected + leastSpread;
+function missProbability(expected: Millis, limit: Millis): number {
+	const spread = relativeSpread * expected + minSpread;
 	return 1 / (1 + Math.exp((limit - expected) / spread));
 }
 
 /**
- * @param parts - expected time and limits.
- * @returns the part of the answer's value that is expected to be lost, from 0 to 1.
+ * @param input - expected time and time limits, in ms.
+ * @returns the expected loss as a part of the answer's value, from 0 to 1.
  */
-export function expectedLoss(parts: LatenessInput): number {
-	const {expected, objectiveLeft, timeLeft} = parts;
-	const late = chanceOfMissing(expected, objectiveLeft);
-	const missed = chanceOfMissing(expected, timeLeft);
+export function expectedLoss(input: LatenessInput): number {
+	const {expected, objectiveLeft, timeLeft} = input;
+	const late = missProbability(expected, objectiveLeft);
+	const missed = missProbability(expected, timeLeft);
 	return late * lateLoss + missed * (1 - lateLoss);
 }
--- a/src/routing/expected-wait-policy.ts
+++ b/src/routing/expected-wait-policy.ts
@@ -5,7 +5,7 @@
 import {ExecutorViews, type ExecutorView} from './executor-view.js';
 import type {RoutingPolicy, RoutingQuery} from './routing-policy.js';
 
-/** Time that an attempt and its answer spend on the way, by distance, in ms. */
+/** Network round-trip time of an attempt and its answer, by distance, in ms. */
 const roundTrips: Readonly<Record<Distance, Millis>> = {
 	[Distance.SameZone]: 0.3,
 	[Distance.SameRegion]: 2.5,
@@ -15,35 +15,35 @@
 const sampleSize = 3;
 const defaultServiceTime: Millis = 10;
 const defaultSlots = 10;
-/** A report of load tells little once the calls it counted have been replaced by others. */
-const loadTrustInServiceTimes = 2;
-/** A report of service time is believed for so long, and then less and less. */
-const serviceTimeTrust: Millis = 3 * second;
-const serviceTimeFade: Millis = 5 * second;
+/** Decay of a load report, in service times: it is outdated once the calls that it counted have ended. */
+const loadDecayInServiceTimes = 2;
+/** A reported service time has full weight for 3 s; then its weight falls linearly to 0 within 5 s. */
+const serviceTimeFreshPeriod: Millis = 3 * second;
+const serviceTimeDecayPeriod: Millis = 5 * second;
 const failurePenalty = 20;
 const avoidPenalty: Millis = 10 * second;
 
-/** What is usual among the executors of a service. */
-type Siblings = {othersLoad: number; serviceTime: Millis};
-type Parts = {clock: Pick<Clock, 'now'>; random: Random; self: () => Member};
+/** Mean load from other ingresses and median service time of the executors of a service. */
+type ServiceStatistics = {othersLoad: number; serviceTime: Millis};
+type Dependencies = {clock: Pick<Clock, 'now'>; random: Random; self: () => Member};
 
 /**
- * Takes the better of two sampled candidates by expected time to the answer. What an executor last
- * reported is corrected by what was sent to it since, and fades towards the mean of its siblings.
+ * Chooses the best of a few sampled candidates by expected time to the answer. The last report of an
+ * executor is corrected by the attempts sent to it since, and decays to the averages of its service.
  * Source: Mitzenmacher, "The power of two choices in randomized load balancing", 2001.
  */
 export class ExpectedWaitPolicy implements RoutingPolicy {
 	private readonly views = new ExecutorViews();
 
-	constructor(private readonly parts: Parts) {}
+	constructor(private readonly deps: Dependencies) {}
 
 	choose(query: RoutingQuery): Member {
-		const siblings = this.siblings(query.candidates);
-		const drawn = sample(query.candidates, sampleSize, this.parts.random);
-		let best = drawn[0]!;
+		const statistics = this.statistics(query.candidates);
+		const sampled = sample(query.candidates, sampleSize, this.deps.random);
+		let best = sampled[0]!;
 		let bestTime = Number.POSITIVE_INFINITY;
-		for (const candidate of drawn) {
-			const time = this.expectedTime(candidate, siblings);
+		for (const candidate of sampled) {
+			const time = this.expectedTime(candidate, statistics);
 			if (time < bestTime) {
 				best = candidate;
 				bestTime = time;
@@ -55,62 +55,62 @@
 
 	/**
 	 * @param candidates - members of one service.
-	 * @returns the shortest time to an answer that any of them is expected to need, in ms.
+	 * @returns the shortest expected time to an answer among them, in ms.
 	 */
 	bestExpectedTime(candidates: readonly Member[]): Millis {
-		const siblings = this.siblings(candidates);
+		const statistics = this.statistics(candidates);
 		let best = Number.POSITIVE_INFINITY;
 		for (const candidate of candidates) {
-			best = Math.min(best, this.expectedTime(candidate, siblings));
+			best = Math.min(best, this.expectedTime(candidate, statistics));
 		}
 
 		return best;
 	}
 
 	recordSent(id: string): void {
-		this.views.recordSent(id, this.parts.clock.now());
+		this.views.recordSent(id, this.deps.clock.now());
 	}
 
 	recordEnded(id: string, sentAt: Millis, load: LoadReport | undefined): void {
 		this.views.recordEnded(id, sentAt);
 		if (load) {
-			this.views.recordLoad(id, load, this.parts.clock.now());
+			this.views.recordLoad(id, load, this.deps.clock.now());
 		}
 	}
 
 	/**
-	 * Gives an executor no work for a while where another can take it.
+	 * Avoids an executor for some time while another is available.
 	 * @param id - the executor.
-	 * @param span - for how long, in ms.
+	 * @param duration - how long to avoid it, in ms.
 	 */
-	avoid(id: string, span: Millis): void {
-		this.views.of(id).avoidUntil = this.parts.clock.now() + span;
+	avoid(id: string, duration: Millis): void {
+		this.views.of(id).avoidUntil = this.deps.clock.now() + duration;
 	}
 
 	/**
-	 * Forgets an executor that is gone.
+	 * Removes the state of an executor that is gone.
 	 * @param id - the executor.
 	 */
 	forget(id: string): void {
 		this.views.forget(id);
 	}
 
-	private expectedTime(candidate: Member, siblings: Siblings): Millis {
-		const now = this.parts.clock.now();
+	private expectedTime(candidate: Member, statistics: ServiceStatistics): Millis {
+		const now = this.deps.clock.now();
 		const view = this.views.of(candidate.id);
 		const slots = view.load?.slots ?? (candidate.slots > 0 ? candidate.slots : defaultSlots);
-		const serviceTime = estimateServiceTime(view, siblings, now);
-		const load = estimateLoad(view, siblings, now);
+		const serviceTime = estimateServiceTime(view, statistics, now);
+		const load = estimateLoad(view, statistics, now);
 		const waiting = Math.max(0, load + 1 - slots);
-		// Calls that share a backend server slow each other down even before they wait.
-		const busyness = Math.min(1, load / slots) / 2;
+		// Concurrent calls slow each other down even before all slots are busy.
+		const contention = Math.min(1, load / slots) / 2;
 		const failures = failurePenalty * (view.load?.failureShare ?? 0);
-		const time = serviceTime * (1 + busyness + failures + waiting / slots);
+		const time = serviceTime * (1 + contention + failures + waiting / slots);
 		const avoidance = now < view.avoidUntil ? avoidPenalty : 0;
-		return roundTrips[distanceBetween(this.parts.self(), candidate)] + time + avoidance;
+		return roundTrips[distanceBetween(this.deps.self(), candidate)] + time + avoidance;
 	}
 
-	private siblings(candidates: readonly Member[]): Siblings {
+	private statistics(candidates: readonly Member[]): ServiceStatistics {
 		let load = 0;
 		let count = 0;
 		const serviceTimes: Millis[] = [];
@@ -124,42 +124,50 @@
 			}
 		}
 
-		// The median, as one straggler must not make its siblings look slow.
+		// The median keeps one straggler from making the other executors look slow.
 		serviceTimes.sort((a, b) => a - b);
 		const serviceTime = serviceTimes[Math.floor((count - 1) / 2)] ?? defaultServiceTime;
 		return {othersLoad: count > 0 ? load / count : 0, serviceTime};
 	}
 }
 
-// Work that other ingresses had there; an ingress need not be told of its own.
+// Load from other ingresses; the ingress knows its own attempts without a report.
 function othersLoad(view: ExecutorView, report: LoadReport): number {
 	return Math.max(0, report.inFlight + report.queued - view.outstandingAtReport);
 }
 
-function estimateLoad(view: ExecutorView, siblings: Siblings, now: Millis): number {
+function estimateLoad(view: ExecutorView, statistics: ServiceStatistics, now: Millis): number {
 	if (!view.load) {
-		return view.outstanding + siblings.othersLoad;
+		return view.outstanding + statistics.othersLoad;
 	}
 
 	const age = now - view.reportedAt;
-	const horizon = loadTrustInServiceTimes * Math.max(1, view.load.serviceTime);
-	const trust = 1 / (1 + age / horizon);
-	const others = trust * othersLoad(view, view.load) + (1 - trust) * siblings.othersLoad;
+	const horizon = loadDecayInServiceTimes * Math.max(1, view.load.serviceTime);
+	const freshness = 1 / (1 + age / horizon);
+	const others = freshness * othersLoad(view, view.load) + (1 - freshness) * statistics.othersLoad;
 	return view.outstanding + others;
 }
 
-// Attempts that are out for longer than usual tell of a slow executor before they end.
-function estimateServiceTime(view: ExecutorView, siblings: Siblings, now: Millis): Millis {
+// Attempts in flight for longer than usual reveal a slow executor before they end.
+function estimateServiceTime(
+	view: ExecutorView,
+	statistics: ServiceStatistics,
+	now: Millis,
+): Millis {
 	const meanAge = view.outstanding > 0 ? now - view.sentAtSum / view.outstanding : 0;
-	return Math.max(meanAge, reportedServiceTime(view, siblings, now));
+	return Math.max(meanAge, reportedServiceTime(view, statistics, now));
 }
 
-function reportedServiceTime(view: ExecutorView, siblings: Siblings, now: Millis): Millis {
+function reportedServiceTime(
+	view: ExecutorView,
+	statistics: ServiceStatistics,
+	now: Millis,
+): Millis {
 	if (!view.load) {
-		return siblings.serviceTime;
+		return statistics.serviceTime;
 	}
 
-	const excess = Math.max(0, now - view.reportedAt - serviceTimeTrust);
-	const trust = Math.max(0, 1 - excess / serviceTimeFade);
-	return trust * view.load.serviceTime + (1 - trust) * siblings.serviceTime;
+	const excess = Math.max(0, now - view.reportedAt - serviceTimeFreshPeriod);
+	const freshness = Math.max(0, 1 - excess / serviceTimeDecayPeriod);
+	return freshness * view.load.serviceTime + (1 - freshness) * statistics.serviceTime;
 }
--- a/src/routing/objective-placement.ts
+++ b/src/routing/objective-placement.ts
@@ -14,71 +14,77 @@
 import {ExecutorViews, type ExecutorView} from './executor-view.js';
 import type {AttemptOutcome, Placement, PlacementQuery} from './placement.js';
 
-/** What a way costs besides its time. */
+/** Costs of transferring bytes between availability zones and regions. */
 export interface TransferCosts {
-	/** Per kilobyte to another availability zone, in answers of the least urgent rank. */
+	/** Cost per kilobyte to another availability zone; the unit is one answer of the lowest priority. */
 	readonly otherZone: number;
-	/** Per kilobyte to another region, in answers of the least urgent rank. */
+	/** Cost per kilobyte to another region; the unit is one answer of the lowest priority. */
 	readonly otherRegion: number;
 }
 
-/** What a placement is made of. */
+/** Collaborators and settings of {@link ObjectivePlacement}. */
 export interface ObjectivePlacementDependencies {
 	readonly clock: Pick<Clock, 'now'>;
 	readonly directory: Directory;
 	readonly self: () => Member;
 	readonly random: Random;
 	readonly costs: TransferCosts;
-	/** @returns the rank of the least urgent requests. */
+	/** @returns the priority of the least urgent requests. */
 	readonly lowestPriority: () => number;
 }
 
-/** Time that an attempt and its answer spend on the way, by distance, in ms. Source: the users' sheets. */
+/** Network round-trip time of an attempt and its answer, by distance, in ms. */
 const roundTrips: Readonly<Record<Distance, Millis>> = {
 	[Distance.SameZone]: 1,
 	[Distance.SameRegion]: 3.5,
 	[Distance.OtherRegion]: 18,
 };
-/** Bytes of head and framing of a request and its answer. */
+/** Size of the headers and framing of a request and its answer. */
 const overheadBytes = 700;
 const kilobyte = 1000;
-/** A report of load says little about later than this; its run time is about as long. */
-const loadMemory: Millis = 300;
-/** Slow spells last about so long. Source: the users' description of their hosts. */
-const speedMemory: Millis = 500;
-/** A failure share is believed for so long, so that a backend server that failed is tried again. */
-const failureMemory: Millis = 4000;
-/** Loss that an executor to avoid is given. */
+/** Time after which a load report is largely outdated; about the run time of a call. */
+const loadDecayTime: Millis = 300;
+/** Time constant of a reported slowdown; about the length of a slow period. */
+const speedDecayTime: Millis = 500;
+/** Time constant of a reported failure share; its decay lets a backend server that failed be tried again. */
+const failureDecayTime: Millis = 4000;
+/** Loss added to an executor that is to be avoided. */
 const avoidLoss = 5;
-/** Loss for each objective's length of expected time: the faster of two that are in time is taken. */
+/**
+ * Loss for an expected time that is equal to the time left to the objective; prefers the faster of two
+ * executors that answer in time.
+ */
 const timeLoss = 0.03;
-/** A second attempt is weighed once the first has taken so many times longer than expected. */
-const hedgePatience = 1.4;
-/** How many times longer work takes in a slow spell. Source: the users' sheets. */
-const slowSpell = 7;
-/** Slowdown from which on an attempt counts as slow from its start. */
-const slowStart = 2;
-/** A spell that is told so soon after a start was there at the start: half of a spell's usual length. */
-const sameSpell: Millis = 250;
-const leastHedgeDelay: Millis = 30;
-/** Gain of value that a second attempt must promise, as it costs work and budget. */
+/** A hedge is considered once the first attempt has taken this multiple of its expected time. */
+const hedgeDelayFactor = 1.4;
+/** Typical slowdown in a slow period. */
+const slowPeriodSlowdown = 7;
+/** Slowdown from which on an attempt counts as started in a slow period. */
+const slowStartThreshold = 2;
+/**
+ * A slow period that is reported within this time after the start of an attempt had begun before the
+ * start: half of the usual length of a slow period.
+ */
+const maxReportDelay: Millis = 250;
+const minHedgeDelay: Millis = 30;
+/** Minimum expected gain of a hedge, as it costs work and budget. */
 const hedgeGain = 0.2;
-/** Bounds of what a refused caller is told to wait, in ms. */
-const leastRoomDelay: Millis = 60;
-const mostRoomDelay: Millis = 1000;
-/** What a refused caller is told to wait when no executor is there: a restart takes about that long. */
-const absenceDelay: Millis = 300;
-/** How long a call waits for an executor at the most, and as a share of its time left. */
-const mostPatience: Millis = 400;
-const patienceShare = 0.3;
+/** Bounds of the retry delay that is reported to a refused caller. */
+const minRetryDelay: Millis = 60;
+const maxRetryDelay: Millis = 1000;
+/** Retry delay that is reported to a refused caller when there is no executor: about the time of a restart. */
+const noExecutorRetryDelay: Millis = 300;
+/** Maximum time for which a call waits for an executor: absolute, and as a share of its time left. */
+const maxExecutorWait: Millis = 400;
+const executorWaitShare = 0.3;
 const defaultSlots = 8;
 
-type Judged = {readonly member: Member; readonly time: Millis; readonly loss: number};
+type Evaluation = {readonly member: Member; readonly time: Millis; readonly loss: number};
 
 /**
- * Chooses the executor at which a call loses the least: the chance that its answer is late, weighed
- * against what the bytes of the way cost. Answers load that shifts within milliseconds: what is
- * known of an executor's speed and load fades with its age.
+ * Chooses the executor with the least expected loss, which combines the probability of a late answer
+ * with the transfer cost. As load shifts within milliseconds, the reported speed and load of an
+ * executor decay with their age.
  */
 export class ObjectivePlacement implements Placement {
 	private readonly views = new ExecutorViews();
@@ -86,16 +92,16 @@
 	private readonly executors: ExecutorSampler;
 	private usualSlowdown = 1;
 
-	constructor(private readonly parts: ObjectivePlacementDependencies) {
-		this.executors = new ExecutorSampler(parts.directory, parts.self, parts.random);
+	constructor(private readonly deps: ObjectivePlacementDependencies) {
+		this.executors = new ExecutorSampler(deps.directory, deps.self, deps.random);
 	}
 
 	choose(query: PlacementQuery): Member | undefined {
-		return this.best(query)?.member;
+		return this.findBest(query)?.member;
 	}
 
 	noExecutorReason(query: PlacementQuery): RefusalReason {
-		for (const member of this.parts.directory.ofService(query.service)) {
+		for (const member of this.deps.directory.ofService(query.service)) {
 			if (isRoutable(member)) {
 				return RefusalReason.Busy;
 			}
@@ -105,17 +111,18 @@
 	}
 
 	hedgeDelay(query: PlacementQuery, executor: Member): Millis | undefined {
-		const {time} = this.judge(query, executor);
-		return Math.max(leastHedgeDelay, time * hedgePatience);
+		const {time} = this.evaluate(query, executor);
+		return Math.max(minHedgeDelay, time * hedgeDelayFactor);
 	}
 
-	// An attempt that takes longer than expected has most likely started in a slow spell; so has one
-	// whose executor tells of a spell just after the start.
+	// An attempt that takes longer than expected has most likely started in a slow period, and so has one
+	// whose executor reports a slow period just after the start.
 	hedgeExecutor(query: PlacementQuery, executor: Member, elapsed: Millis): Member | undefined {
 		const {work} = this.profiles.of(query.kind, query.objective);
-		const isOverdue = elapsed > work * hedgePatience;
-		const slowdown = this.slowdownAtStart(executor, elapsed) ?? (isOverdue ? slowSpell : undefined);
-		const other = slowdown === undefined ? undefined : this.best(query);
+		const isOverdue = elapsed > work * hedgeDelayFactor;
+		const slowdown =
+			this.slowdownAtStart(executor, elapsed) ?? (isOverdue ? slowPeriodSlowdown : undefined);
+		const other = slowdown === undefined ? undefined : this.findBest(query);
 		if (slowdown === undefined || !other) {
 			return undefined;
 		}
@@ -126,88 +133,88 @@
 		return loss - other.loss > hedgeGain ? other.member : undefined;
 	}
 
-	// Executors are away for about a second when their nodes restart, and callers have few retries.
+	// Executors are absent for about a second when their nodes restart, and callers have few retries.
 	maxWaitForExecutor(query: PlacementQuery): Millis {
-		const isExpected = this.noExecutorReason(query) === RefusalReason.NoBackend;
-		return isExpected ? Math.min(mostPatience, query.timeLeft * patienceShare) : 0;
+		const hasNoExecutor = this.noExecutorReason(query) === RefusalReason.NoBackend;
+		return hasNoExecutor ? Math.min(maxExecutorWait, query.timeLeft * executorWaitShare) : 0;
 	}
 
 	retryAfterHint(query: PlacementQuery): Millis | undefined {
-		let least: Millis | undefined;
+		let shortest: Millis | undefined;
 		for (const member of this.executors.sample(query.service, query.excluded)) {
-			const {time} = this.judge(query, member);
-			least = Math.min(least ?? time, time);
+			const {time} = this.evaluate(query, member);
+			shortest = Math.min(shortest ?? time, time);
 		}
 
-		return Math.min(mostRoomDelay, Math.max(leastRoomDelay, least ?? absenceDelay));
+		return Math.min(maxRetryDelay, Math.max(minRetryDelay, shortest ?? noExecutorRetryDelay));
 	}
 
 	recordSent(_query: PlacementQuery, executor: Member): void {
-		this.views.recordSent(executor.id, this.parts.clock.now());
+		this.views.recordSent(executor.id, this.deps.clock.now());
 	}
 
-	recordEnded(query: PlacementQuery, executor: Member, news: AttemptOutcome): void {
-		this.views.recordEnded(executor.id, news.sentAt);
-		if (news.load) {
-			this.learn(query, executor, news, news.load);
-			this.recordLoad(executor.id, news.load);
+	recordEnded(query: PlacementQuery, executor: Member, outcome: AttemptOutcome): void {
+		this.views.recordEnded(executor.id, outcome.sentAt);
+		if (outcome.load) {
+			this.updateProfile(query, executor, outcome, outcome.load);
+			this.recordLoad(executor.id, outcome.load);
 		}
 	}
 
 	/**
-	 * An executor has told its load.
+	 * Records a load report.
 	 * @param id - the executor.
-	 * @param load - what it told.
+	 * @param load - the report; ignored if the executor has no slots.
 	 */
 	recordLoad(id: string, load: LoadReport): void {
 		if (load.slots === 0) {
 			return;
 		}
 
-		this.views.recordLoad(id, load, this.parts.clock.now());
+		this.views.recordLoad(id, load, this.deps.clock.now());
 		this.executors.recordReport(id);
 		this.usualSlowdown += (load.slowdown - this.usualSlowdown) * 0.01;
 	}
 
-	avoid(id: string, span: Millis): void {
-		this.views.of(id).avoidUntil = this.parts.clock.now() + span;
+	avoid(id: string, duration: Millis): void {
+		this.views.of(id).avoidUntil = this.deps.clock.now() + duration;
 	}
 
 	forget(id: string): void {
 		this.views.forget(id);
 	}
 
-	private learn(
+	private updateProfile(
 		query: PlacementQuery,
 		executor: Member,
-		news: AttemptOutcome,
+		outcome: AttemptOutcome,
 		load: LoadReport,
 	): void {
 		const before = this.views.of(executor.id).load?.slowdown ?? 1;
 		const isUsual = isUsualSpeed(before) && isUsualSpeed(load.slowdown);
-		if (isUsual && news.answerBytes !== undefined && !news.isFailure) {
-			const way = roundTrips[distanceBetween(this.parts.self(), executor)];
-			const work = Math.max(1, this.parts.clock.now() - news.sentAt - way);
-			this.profiles.add(query.kind, work, news.answerBytes);
+		if (isUsual && outcome.answerBytes !== undefined && !outcome.isFailure) {
+			const roundTrip = roundTrips[distanceBetween(this.deps.self(), executor)];
+			const work = Math.max(1, this.deps.clock.now() - outcome.sentAt - roundTrip);
+			this.profiles.add(query.kind, work, outcome.answerBytes);
 		}
 	}
 
-	private best(query: PlacementQuery): Judged | undefined {
-		let best: Judged | undefined;
+	private findBest(query: PlacementQuery): Evaluation | undefined {
+		let best: Evaluation | undefined;
 		for (const member of this.executors.sample(query.service, query.excluded)) {
-			const judged = this.judge(query, member);
-			if (!best || judged.loss < best.loss) {
-				best = judged;
+			const evaluation = this.evaluate(query, member);
+			if (!best || evaluation.loss < best.loss) {
+				best = evaluation;
 			}
 		}
 
 		return best;
 	}
 
-	private judge(query: PlacementQuery, member: Member): Judged {
-		const now = this.parts.clock.now();
+	private evaluate(query: PlacementQuery, member: Member): Evaluation {
+		const now = this.deps.clock.now();
 		const view = this.views.of(member.id);
-		const distance = distanceBetween(this.parts.self(), member);
+		const distance = distanceBetween(this.deps.self(), member);
 		const profile = this.profiles.of(query.kind, query.objective);
 		const time = expectedTime({
 			work: profile.work,
@@ -221,23 +228,23 @@
 		const bytes = overheadBytes + query.requestBytes + profile.answerBytes;
 		const loss =
 			lateness +
-			this.wayLoss(distance, bytes, query.priority) +
+			this.transferLoss(distance, bytes, query.priority) +
 			(timeLoss * time) / Math.max(1, objectiveLeft) +
 			failureLoss(view, now) +
 			(now < view.avoidUntil ? avoidLoss : 0);
 		return {member, time, loss};
 	}
 
-	// What an executor told before the start was known when it was chosen.
+	// A report from before the start was already considered when the executor was chosen.
 	private slowdownAtStart({id}: Member, elapsed: Millis): number | undefined {
 		const {load, reportedAt} = this.views.of(id);
-		const startedAt = this.parts.clock.now() - elapsed;
-		const isSoonAfter = reportedAt > startedAt && reportedAt - startedAt <= sameSpell;
-		return load && isSoonAfter && load.slowdown >= slowStart ? load.slowdown : undefined;
+		const startedAt = this.deps.clock.now() - elapsed;
+		const isSoonAfter = reportedAt > startedAt && reportedAt - startedAt <= maxReportDelay;
+		return load && isSoonAfter && load.slowdown >= slowStartThreshold ? load.slowdown : undefined;
 	}
 
-	private wayLoss(distance: Distance, bytes: number, priority: number): number {
-		const {costs, lowestPriority} = this.parts;
+	private transferLoss(distance: Distance, bytes: number, priority: number): number {
+		const {costs, lowestPriority} = this.deps;
 		const value = 1 + Math.max(0, lowestPriority() - priority);
 		switch (distance) {
 			case Distance.SameZone: {
@@ -259,12 +266,12 @@
 			return this.usualSlowdown;
 		}
 
-		const trust = Math.exp(-(now - view.reportedAt) / speedMemory);
-		return this.usualSlowdown + (view.load.slowdown - this.usualSlowdown) * trust;
+		const freshness = Math.exp(-(now - view.reportedAt) / speedDecayTime);
+		return this.usualSlowdown + (view.load.slowdown - this.usualSlowdown) * freshness;
 	}
 }
 
-// Work of other ingresses fades; an ingress need not be told of its own.
+// The load from other ingresses decays; the ingress knows its own attempts without a report.
 function loadOf(view: ExecutorView, now: Millis): number {
 	if (!view.load) {
 		return view.outstanding;
@@ -272,8 +279,8 @@
 
 	const {inFlight, queued} = view.load;
 	const others = Math.max(0, inFlight + queued - view.outstandingAtReport);
-	const trust = Math.exp(-(now - view.reportedAt) / (2 * loadMemory));
-	return view.outstanding + others * (0.5 + 0.5 * trust);
+	const freshness = Math.exp(-(now - view.reportedAt) / (2 * loadDecayTime));
+	return view.outstanding + others * (0.5 + 0.5 * freshness);
 }
 
 function failureLoss(view: ExecutorView, now: Millis): number {
@@ -281,5 +288,5 @@
 		return 0;
 	}
 
-	return view.load.failureShare * Math.exp(-(now - view.reportedAt) / failureMemory);
+	return view.load.failureShare * Math.exp(-(now - view.reportedAt) / failureDecayTime);
 }
--- a/src/routing/routing-policy.ts
+++ b/src/routing/routing-policy.ts
@@ -2,28 +2,28 @@
 import type {Millis} from '../clock/index.js';
 import type {Member} from '../membership/index.js';
 
-/** What the choice of one executor depends on. */
+/** Input of the choice of an executor. */
 export interface RoutingQuery {
-	/** Members that could run the call; never empty. */
+	/** Members that can run the call; never empty. */
 	readonly candidates: readonly Member[];
-	/** How long the caller still waits, in ms. */
+	/** Time until the deadline of the call, in ms. */
 	readonly timeLeft: Millis;
 }
 
-/** A way to choose executors; the product's own and the baselines it is measured against. */
+/** Policy for choosing executors; implemented for production and by baselines for comparison. */
 export interface RoutingPolicy {
 	/**
-	 * @param query - what the choice depends on.
+	 * @param query - the call and its candidates.
 	 * @returns one of the candidates.
 	 */
 	choose(query: RoutingQuery): Member;
-	/** An attempt was sent to an executor. */
+	/** Records that an attempt was sent to an executor. */
 	recordSent(id: string): void;
 	/**
-	 * An attempt has ended.
+	 * Records the end of an attempt.
 	 * @param id - its executor.
 	 * @param sentAt - when it was sent, in ms.
-	 * @param load - what the executor told of its load, if it did.
+	 * @param load - load that the executor reported, if any.
 	 */
 	recordEnded(id: string, sentAt: Millis, load: LoadReport | undefined): void;
 }
--- a/src/routing/weighted-split.ts
+++ b/src/routing/weighted-split.ts
@@ -1,15 +1,15 @@
 import {LRUCache} from 'lru-cache';
 import type {RoutePolicy} from '../declaration/index.js';
 
-/** Routes whose credits are kept; those that were used longest ago are forgotten first. */
+/** Maximum number of routes whose credits are kept; the least recently used are evicted. */
 const maxSplits = 10_000;
 
 type Split = {readonly weights: string; readonly credits: number[]};
 
 /**
- * Splits the requests of a route among its targets in proportion to their weights, exactly and
- * evenly over time: each target earns its weight with every request and the richest one pays the sum.
- * Source: smooth weighted round-robin, as in several well-known load balancers.
+ * Splits the requests of a route among its targets in proportion to their weights by smooth weighted
+ * round robin, which is exact and evenly distributed over time: each request adds the weight of every
+ * target to its credit, and subtracts the sum of the weights from the target with the highest credit.
  */
 export class WeightedSplit {
 	private readonly splits = new LRUCache<string, Split>({max: maxSplits});
