--- a/src/call/__tests__/unit/attempt-ledger.test.ts
+++ b/src/call/__tests__/unit/attempt-ledger.test.ts
@@ -5,27 +5,27 @@
 const instance = 'peer-1';
 
 describe('AttemptLedger', () => {
-	it('fences an attempt that was asked for before it came', () => {
+	it('fences an attempt that is queried before it arrives', () => {
 		const ledger = new AttemptLedger();
 		expect(ledger.queryAndFence({instance, sequence: 7}, 0)).toBe(AttemptState.Fenced);
 		expect(ledger.admit({instance, sequence: 7}, 1)).toBe(false);
 	});
 
-	it('keeps an admitted attempt from being written once it was asked for', () => {
+	it('does not let an admitted attempt be written once it has been queried', () => {
 		const ledger = new AttemptLedger();
 		ledger.admit({instance, sequence: 1}, 0);
 		expect(ledger.queryAndFence({instance, sequence: 1}, 1)).toBe(AttemptState.Fenced);
 		expect(ledger.markRan({instance, sequence: 1})).toBe(false);
 	});
 
-	it('tells that an attempt ran', () => {
+	it('reports that an attempt ran', () => {
 		const ledger = new AttemptLedger();
 		ledger.admit({instance, sequence: 1}, 0);
 		expect(ledger.markRan({instance, sequence: 1})).toBe(true);
 		expect(ledger.queryAndFence({instance, sequence: 1}, 1)).toBe(AttemptState.Ran);
 	});
 
-	it('refuses what it has forgotten', () => {
+	it('refuses an attempt whose record has expired', () => {
 		const ledger = new AttemptLedger();
 		ledger.admit({instance, sequence: 5}, 0);
 		ledger.markRan({instance, sequence: 5});
@@ -34,7 +34,7 @@
 		expect(ledger.admit({instance, sequence: 5}, 10 * 60_000)).toBe(false);
 	});
 
-	it('never lets an attempt run twice, nor after it was called not run', () => {
+	it('never lets an attempt run twice, or run after it was reported as not run', () => {
 		const step = fc.record({
 			kind: fc.constantFrom('admit', 'run', 'ask', 'expire'),
 			sequence: fc.integer({min: 0, max: 5}),
--- a/src/call/attempt-id.ts
+++ b/src/call/attempt-id.ts
@@ -1,7 +1,7 @@
-/** Names one attempt of a call; never used again. */
+/** Unique identifier of one attempt of a call; never reused. */
 export interface AttemptId {
 	/** The incarnation of the node that sends the attempt. */
 	readonly instance: string;
-	/** Counts up within one incarnation. */
+	/** Increases within one incarnation. */
 	readonly sequence: number;
 }
--- a/src/call/attempt-ledger.ts
+++ b/src/call/attempt-ledger.ts
@@ -1,58 +1,58 @@
 import {minute, type Millis} from '../clock/index.js';
 import type {AttemptId} from './attempt-id.js';
 
-/** What an executor knows of an attempt. The values are part of the wire format. */
+/** State of an attempt at its executor. The values are part of the wire format. */
 export enum AttemptState {
-	/** It has not come and will be refused if it comes. */
+	/** It will never run: it is refused if it arrives late, and not sent to the backend server if it has arrived. */
 	Fenced = 0,
-	/** It is here; whether it reaches the backend server is open. */
+	/** It has arrived; whether it will be sent to the backend server is undecided. */
 	Admitted = 1,
 	/** It was sent to the backend server. */
 	Ran = 2,
 	/** It was refused before any byte went to the backend server. */
 	Refused = 3,
-	/** It is so old that nothing is remembered; it will be refused if it comes. */
+	/** Its record has expired or was evicted; it is refused if it arrives. */
 	Forgotten = 4,
 }
 
 type Entry = {state: AttemptState; at: Millis};
-type Book = {entries: Map<number, Entry>; forgottenBelow: number};
+type PeerAttempts = {entries: Map<number, Entry>; forgottenBelow: number};
 
 const retention: Millis = 2 * minute;
 const maxEntriesPerInstance = 50_000;
-/** Incarnations of peers that are remembered, the least recently heard going first. */
+/** Maximum number of peer incarnations; the least recently used are evicted. */
 const maxInstances = 20_000;
 
 /**
- * The executor's memory of attempts. An attempt that the memory has let go of is refused when it
- * comes late, so that a bound on the memory never lets an attempt run after it was called not run.
+ * Records the attempts that an executor has received. An attempt whose record was evicted is refused when
+ * it arrives late, so that bounded memory never lets an attempt run after it was reported as not run.
  */
 export class AttemptLedger {
-	private readonly books = new Map<string, Book>();
+	private readonly byInstance = new Map<string, PeerAttempts>();
 
 	/**
-	 * Takes in an attempt that has come.
+	 * Admits an attempt that has arrived.
 	 * @param id - the attempt.
 	 * @param now - monotonic time in ms.
-	 * @returns whether it may go on; false when it is fenced, a copy or too old.
+	 * @returns whether it may proceed; false if it is fenced, a duplicate or too old.
 	 */
 	admit(id: AttemptId, now: Millis): boolean {
-		const book = this.book(id.instance);
-		if (id.sequence < book.forgottenBelow || book.entries.has(id.sequence)) {
+		const peerAttempts = this.peerAttempts(id.instance);
+		if (id.sequence < peerAttempts.forgottenBelow || peerAttempts.entries.has(id.sequence)) {
 			return false;
 		}
 
-		this.set(book, id.sequence, {state: AttemptState.Admitted, at: now});
+		this.set(peerAttempts, id.sequence, {state: AttemptState.Admitted, at: now});
 		return true;
 	}
 
 	/**
-	 * Notes that an attempt is about to be written to the backend server.
+	 * Records that an attempt is about to be written to the backend server.
 	 * @param id - the attempt.
-	 * @returns false when it has been fenced in the meantime and must not be written.
+	 * @returns false if the attempt is no longer admitted, for example fenced, and must not be written.
 	 */
 	markRan(id: AttemptId): boolean {
-		const entry = this.books.get(id.instance)?.entries.get(id.sequence);
+		const entry = this.byInstance.get(id.instance)?.entries.get(id.sequence);
 		if (entry?.state !== AttemptState.Admitted) {
 			return false;
 		}
@@ -62,31 +62,31 @@
 	}
 
 	/**
-	 * Notes that an attempt was refused before anything was written.
+	 * Records that an attempt was refused before anything was written.
 	 * @param id - the attempt.
 	 */
 	markRefused(id: AttemptId): void {
-		const entry = this.books.get(id.instance)?.entries.get(id.sequence);
+		const entry = this.byInstance.get(id.instance)?.entries.get(id.sequence);
 		if (entry?.state === AttemptState.Admitted) {
 			entry.state = AttemptState.Refused;
 		}
 	}
 
 	/**
-	 * Tells what became of an attempt, and keeps it from running if it has not run.
+	 * Returns the state of an attempt and fences it if it has not run.
 	 * @param id - the attempt.
 	 * @param now - monotonic time in ms.
 	 * @returns its state; `Fenced` and `Refused` prove that it did not run and never will.
 	 */
 	queryAndFence(id: AttemptId, now: Millis): AttemptState {
-		const book = this.book(id.instance);
-		if (id.sequence < book.forgottenBelow) {
+		const peerAttempts = this.peerAttempts(id.instance);
+		if (id.sequence < peerAttempts.forgottenBelow) {
 			return AttemptState.Forgotten;
 		}
 
-		const entry = book.entries.get(id.sequence);
+		const entry = peerAttempts.entries.get(id.sequence);
 		if (!entry) {
-			this.set(book, id.sequence, {state: AttemptState.Fenced, at: now});
+			this.set(peerAttempts, id.sequence, {state: AttemptState.Fenced, at: now});
 			return AttemptState.Fenced;
 		}
 
@@ -98,43 +98,43 @@
 	}
 
 	/**
-	 * Lets go of what is older than any call.
+	 * Removes records that are older than any call can be.
 	 * @param now - monotonic time in ms.
 	 */
 	expire(now: Millis): void {
-		for (const book of this.books.values()) {
-			for (const [sequence, entry] of book.entries) {
+		for (const peerAttempts of this.byInstance.values()) {
+			for (const [sequence, entry] of peerAttempts.entries) {
 				if (now - entry.at < retention) {
 					break;
 				}
 
-				this.forget(book, sequence);
+				this.forget(peerAttempts, sequence);
 			}
 		}
 	}
 
-	// A book outlives its entries, as it keeps the bound below which nothing may run any more.
-	private book(instance: string): Book {
-		const known = this.books.get(instance);
-		const book = known ?? {entries: new Map<number, Entry>(), forgottenBelow: 0};
-		this.books.delete(instance);
-		this.books.set(instance, book);
-		if (this.books.size > maxInstances) {
-			this.books.delete(this.books.keys().next().value!);
+	// Kept after its entries are removed, for the sequence number below which no attempt may run.
+	private peerAttempts(instance: string): PeerAttempts {
+		const known = this.byInstance.get(instance);
+		const peerAttempts = known ?? {entries: new Map<number, Entry>(), forgottenBelow: 0};
+		this.byInstance.delete(instance);
+		this.byInstance.set(instance, peerAttempts);
+		if (this.byInstance.size > maxInstances) {
+			this.byInstance.delete(this.byInstance.keys().next().value!);
 		}
 
-		return book;
+		return peerAttempts;
 	}
 
-	private set(book: Book, sequence: number, entry: Entry): void {
-		book.entries.set(sequence, entry);
-		if (book.entries.size > maxEntriesPerInstance) {
-			this.forget(book, book.entries.keys().next().value!);
+	private set(peerAttempts: PeerAttempts, sequence: number, entry: Entry): void {
+		peerAttempts.entries.set(sequence, entry);
+		if (peerAttempts.entries.size > maxEntriesPerInstance) {
+			this.forget(peerAttempts, peerAttempts.entries.keys().next().value!);
 		}
 	}
 
-	private forget(book: Book, sequence: number): void {
-		book.entries.delete(sequence);
-		book.forgottenBelow = Math.max(book.forgottenBelow, sequence + 1);
+	private forget(peerAttempts: PeerAttempts, sequence: number): void {
+		peerAttempts.entries.delete(sequence);
+		peerAttempts.forgottenBelow = Math.max(peerAttempts.forgottenBelow, sequence + 1);
 	}
 }
--- a/src/call/crash-guard.ts
+++ b/src/call/crash-guard.ts
@@ -1,13 +1,13 @@
 import {minute, type Millis} from '../clock/index.js';
 
-/** A crash of a backend server with the requests that were in flight. */
+/** A crash of a backend server and the requests that were in flight. */
 export interface CrashReport {
-	/** Unique for each crash. */
+	/** Unique identifier of the crash. */
 	readonly crashId: string;
 	readonly fingerprints: readonly string[];
 }
 
-/** A request that is held back. */
+/** A request fingerprint that is held. */
 export interface Hold {
 	readonly fingerprint: string;
 	/** Monotonic time in ms. */
@@ -17,15 +17,15 @@
 type Suspicion = {crashes: Set<string>; lastCrash: Millis};
 
 const crashesToHold = 2;
-const suspicionTime: Millis = 2 * minute;
-const holdTime: Millis = minute;
-const answeredTime: Millis = minute;
+const suspicionPeriod: Millis = 2 * minute;
+const holdPeriod: Millis = minute;
+const answeredPeriod: Millis = minute;
 const maxSuspicions = 10_000;
 const maxAnswered = 10_000;
 
 /**
- * Holds back requests that were in flight at two crashes of backend servers. A request that was
- * answered of late is not blamed, so that neighbours in flight at a crash are not held for it.
+ * Holds requests that were in flight at two crashes of backend servers. A request that was answered
+ * recently is not suspected, so that unrelated requests in flight at a crash are not held.
  */
 export class CrashGuard {
 	private readonly suspicions = new Map<string, Suspicion>();
@@ -35,7 +35,7 @@
 	/**
 	 * @param fingerprint - hash of a request.
 	 * @param now - monotonic time in ms.
-	 * @returns whether the request must not run now.
+	 * @returns whether the request is held and must not run now.
 	 */
 	isHeld(fingerprint: string, now: Millis): boolean {
 		const until = this.holds.get(fingerprint);
@@ -48,8 +48,8 @@
 	}
 
 	/**
-	 * A request was answered.
-	 * @param fingerprint - its hash.
+	 * Records that a request was answered.
+	 * @param fingerprint - hash of the request.
 	 * @param now - monotonic time in ms.
 	 */
 	recordAnswered(fingerprint: string, now: Millis): void {
@@ -62,22 +62,22 @@
 	}
 
 	/**
-	 * @param fingerprints - requests that were in flight when a backend server crashed here.
+	 * @param fingerprints - requests that were in flight when the local backend server crashed.
 	 * @param now - monotonic time in ms.
-	 * @returns those that may be to blame.
+	 * @returns the requests that may have caused the crash.
 	 */
 	suspects(fingerprints: readonly string[], now: Millis): string[] {
 		return [...new Set(fingerprints)].filter((fingerprint) => {
 			const answeredAt = this.answered.get(fingerprint);
-			return answeredAt === undefined || now - answeredAt > answeredTime;
+			return answeredAt === undefined || now - answeredAt > answeredPeriod;
 		});
 	}
 
 	/**
-	 * Takes in a crash, of the own backend server or of another.
+	 * Records a crash of the local backend server or of another.
 	 * @param report - the crash.
 	 * @param now - monotonic time in ms.
-	 * @returns requests that are held from now on.
+	 * @returns requests that are held as a result.
 	 */
 	recordCrash(report: CrashReport, now: Millis): string[] {
 		const held: string[] = [];
@@ -86,7 +86,7 @@
 			suspicion.crashes.add(report.crashId);
 			suspicion.lastCrash = now;
 			if (suspicion.crashes.size >= crashesToHold) {
-				this.holds.set(fingerprint, now + holdTime);
+				this.holds.set(fingerprint, now + holdPeriod);
 				held.push(fingerprint);
 			}
 		}
@@ -95,7 +95,8 @@
 	}
 
 	/**
-	 * @param fingerprint - a request that an operator lets run again.
+	 * Lifts a hold and clears the suspicion.
+	 * @param fingerprint - hash of the request that may run again.
 	 */
 	lift(fingerprint: string): void {
 		this.holds.delete(fingerprint);
@@ -104,7 +105,7 @@
 
 	/**
 	 * @param now - monotonic time in ms.
-	 * @returns what is held back.
+	 * @returns the current holds.
 	 */
 	list(now: Millis): Hold[] {
 		const holds: Hold[] = [];
@@ -119,7 +120,7 @@
 
 	private suspicion(fingerprint: string, now: Millis): Suspicion {
 		const known = this.suspicions.get(fingerprint);
-		const isFresh = known !== undefined && now - known.lastCrash < suspicionTime;
+		const isFresh = known !== undefined && now - known.lastCrash < suspicionPeriod;
 		const suspicion = isFresh ? known : {crashes: new Set<string>(), lastCrash: now};
 		this.suspicions.delete(fingerprint);
 		this.suspicions.set(fingerprint, suspicion);
--- a/src/call/deadline.ts
+++ b/src/call/deadline.ts
@@ -1,11 +1,11 @@
 import type {Millis} from '../clock/index.js';
 
-/** The point of time at which a caller stops waiting, on the clock of this process. */
+/** The time at which a caller stops waiting, on the monotonic clock of this process. */
 export class Deadline {
 	/**
 	 * @param now - monotonic time in ms.
-	 * @param timeLeft - how long the caller still waits, in ms.
-	 * @returns the deadline of a call that travels with its time left, as clocks differ.
+	 * @param timeLeft - time until the caller stops waiting, in ms.
+	 * @returns the deadline; calls carry their time left between nodes, as their clocks differ.
 	 */
 	static in(now: Millis, timeLeft: Millis): Deadline {
 		return new Deadline(now + timeLeft);
@@ -26,7 +26,7 @@
 
 	/**
 	 * @param now - monotonic time in ms.
-	 * @returns whether the caller no longer waits.
+	 * @returns whether the deadline has passed.
 	 */
 	isPast(now: Millis): boolean {
 		return now >= this.at;
--- a/src/call/key-ledger.ts
+++ b/src/call/key-ledger.ts
@@ -1,45 +1,45 @@
 import type {Millis} from '../clock/index.js';
 
-/** What the home of an idempotency key knows of its call. */
+/** State of the call of an idempotency key at the owner of the key. */
 export enum KeyState {
-	/** The call runs, or is about to. */
+	/** The call is running or about to run. */
 	Running = 0,
-	/** The call ran and its answer is kept. */
+	/** The call ran and its answer is stored. */
 	Answered = 1,
-	/** The call ran; its answer was too large to keep. */
+	/** The call ran, but its answer was too large to store or there was no room for it. */
 	NotKept = 2,
-	/** The call is proved not to have run; it may be sent again. */
+	/** The call provably did not run and may be sent again. */
 	NotRun = 3,
 	/** The call may have run. */
 	Unknown = 4,
 }
 
-/** What is remembered of one key. */
+/** Record of one key. */
 export interface KeyRecord<Answer> {
 	readonly id: string;
-	/** Tells whether the key is used again for another request. */
+	/** Hash of the request; detects reuse of the key for another request. */
 	readonly fingerprint: string;
 	state: KeyState;
 	answer: Answer | undefined;
-	/** Bytes of the answer. */
+	/** Size of the answer in bytes. */
 	answerBytes: number;
-	/** Monotonic time in ms until which the key is remembered. */
+	/** Monotonic time in ms until which the record is kept. */
 	expiresAt: Millis;
 }
 
-/** Bounds of a key memory. */
+/** Limits of a key ledger. */
 export interface KeyLedgerLimits {
 	readonly maxRecords: number;
 	readonly maxBytes: number;
 }
 
-/** What the ledger says to a call that comes with a key. */
+/** Decision of the ledger for a call with a key. */
 export enum KeyVerdict {
-	/** The key is new here, or its call is proved not to have run. */
+	/** The key is new, or its call provably did not run. */
 	Start = 'start',
-	/** The call runs already. */
+	/** The call is already running. */
 	Join = 'join',
-	/** The call has ended; its record tells how. */
+	/** The call has ended; the record holds its result. */
 	Replay = 'replay',
 	/** The key belongs to another request. */
 	Reused = 'reused',
@@ -47,11 +47,11 @@
 	Full = 'full',
 }
 
-const recordOverhead = 300;
+const recordOverheadBytes = 300;
 
 /**
- * The memory of the node that is home to idempotency keys. It refuses when full and forgets nothing
- * before its time.
+ * Records the calls of idempotency keys at the node that owns the keys. Refuses new keys when full
+ * rather than evicting records before they expire.
  */
 export class KeyLedger<Answer> {
 	private readonly records = new Map<string, KeyRecord<Answer>>();
@@ -63,14 +63,14 @@
 		return this.records.size;
 	}
 
-	/** Bytes that the memory takes, about. */
+	/** Approximate memory use in bytes. */
 	get byteSize(): number {
 		return this.bytes;
 	}
 
 	/**
 	 * @param id - service, customer and key.
-	 * @returns what is remembered of the key.
+	 * @returns the record of the key, if any.
 	 */
 	get(id: string): KeyRecord<Answer> | undefined {
 		return this.records.get(id);
@@ -82,11 +82,11 @@
 	}
 
 	/**
-	 * A call has come with a key.
+	 * Decides how to handle a call with a key.
 	 * @param id - service, customer and key.
 	 * @param fingerprint - hash of the request.
-	 * @param expiresAt - until when the key is to be remembered.
-	 * @returns what to do; after {@link KeyVerdict.Start} the record says that the call runs.
+	 * @param expiresAt - monotonic time in ms until which the record is to be kept.
+	 * @returns the decision; after {@link KeyVerdict.Start} the record is in state `Running`.
 	 */
 	begin(id: string, fingerprint: string, expiresAt: Millis): KeyVerdict {
 		const known = this.records.get(id);
@@ -112,11 +112,11 @@
 	}
 
 	/**
-	 * The call of a key has ended.
+	 * Records the end of the call of a key.
 	 * @param id - service, customer and key.
-	 * @param state - how it ended.
-	 * @param answer - the answer, where it is kept.
-	 * @param answerBytes - bytes of the answer.
+	 * @param state - final state; `Answered` becomes `NotKept` if the answer exceeds the byte limit.
+	 * @param answer - the answer to store, if any.
+	 * @param answerBytes - size of the answer in bytes.
 	 */
 	finish(id: string, state: KeyState, answer?: Answer, answerBytes = 0): void {
 		const record = this.records.get(id);
@@ -134,30 +134,30 @@
 	}
 
 	/**
-	 * Takes over a record of a node that left.
-	 * @param record - what it remembered.
+	 * Adopts a record from a node that left; ignored if the key already has a record.
+	 * @param record - the record to add.
 	 */
 	adopt(record: KeyRecord<Answer>): void {
 		if (!this.records.has(record.id)) {
 			this.records.set(record.id, record);
-			this.bytes += recordOverhead + record.answerBytes;
+			this.bytes += recordOverheadBytes + record.answerBytes;
 		}
 	}
 
 	/**
-	 * Forgets a key of which another node is the home.
+	 * Removes the record of a key, for example when another node is its owner.
 	 * @param id - service, customer and key.
 	 */
 	drop(id: string): void {
 		const record = this.records.get(id);
 		if (record) {
 			this.records.delete(id);
-			this.bytes -= recordOverhead + record.answerBytes;
+			this.bytes -= recordOverheadBytes + record.answerBytes;
 		}
 	}
 
 	/**
-	 * Forgets what is past its time.
+	 * Removes expired records, except those of running calls.
 	 * @param now - monotonic time in ms.
 	 */
 	expire(now: Millis): void {
@@ -171,7 +171,7 @@
 	private add(id: string, fingerprint: string, expiresAt: Millis): KeyVerdict {
 		const isFull =
 			this.records.size >= this.limits.maxRecords ||
-			this.bytes + recordOverhead > this.limits.maxBytes;
+			this.bytes + recordOverheadBytes > this.limits.maxBytes;
 		if (isFull) {
 			return KeyVerdict.Full;
 		}
@@ -184,7 +184,7 @@
 			answerBytes: 0,
 			expiresAt,
 		});
-		this.bytes += recordOverhead;
+		this.bytes += recordOverheadBytes;
 		return KeyVerdict.Start;
 	}
 }
--- a/src/call/load-report.ts
+++ b/src/call/load-report.ts
@@ -1,17 +1,17 @@
 import type {Millis} from '../clock/index.js';
 
-/** What an executor knows about its backend server; rides on every answer. */
+/** Load of a backend server as known to its executor; sent with every answer. */
 export interface LoadReport {
-	/** Calls that run at the backend server now. */
+	/** Number of calls running at the backend server. */
 	readonly inFlight: number;
-	/** Calls that wait for a slot. */
+	/** Number of calls waiting for a slot. */
 	readonly queued: number;
-	/** Calls that may run at once. */
+	/** Maximum number of concurrent calls. */
 	readonly slots: number;
-	/** Recent time that the backend server needs for a call, in ms. */
+	/** Recent service time of a call at the backend server, in ms. */
 	readonly serviceTime: Millis;
 	/** Share of recent calls that failed, from 0 to 1. */
 	readonly failureShare: number;
-	/** How many times longer than usual work takes at this moment; 1 is usual. */
+	/** Current duration of work relative to its usual duration; 1 is usual. */
 	readonly slowdown: number;
 }
--- a/src/call/outcome.ts
+++ b/src/call/outcome.ts
@@ -1,9 +1,9 @@
-/** How a call ended, as far as its caller is told. */
+/** Outcome of a call as reported to its caller. */
 export enum Outcome {
-	/** A backend server answered, and the answer is the caller's own. */
+	/** A backend server answered this call. */
 	Answered = 'answered',
-	/** It is proved that no backend server ran the call. */
+	/** Provably no backend server ran the call. */
 	NotRun = 'not-run',
-	/** The call may have run; nobody can prove either. */
+	/** The call may or may not have run; neither can be proved. */
 	Unknown = 'unknown',
 }
--- a/src/call/refusal-reason.ts
+++ b/src/call/refusal-reason.ts
@@ -42,14 +42,14 @@
 	AnswerNotKept = 'answer-not-kept',
 }
 
-/** What a caller is told for one reason. */
+/** Response to the caller for one refusal reason. */
 export interface Refusal {
 	readonly outcome: Outcome;
 	/** HTTP status. */
 	readonly status: number;
-	/** Value for `Retry-After`, in ms; undefined where sending again does not help. */
+	/** Value for `Retry-After`, in ms; undefined if sending the call again does not help. */
 	readonly retryAfter: Millis | undefined;
-	/** Whether another executor may be tried at once. */
+	/** Whether the call may be retried at another executor at once. */
 	readonly canRetryElsewhere: boolean;
 }
 
@@ -69,13 +69,13 @@
 	};
 }
 
-/** This copy did not run, but whether an earlier copy did could not be asked. */
+/** This copy of the call did not run, but whether an earlier copy ran could not be checked. */
 function notChecked(status: number): Refusal {
 	const retryAfter = 5 * second;
 	return {outcome: Outcome.Unknown, status, retryAfter, canRetryElsewhere: false};
 }
 
-/** The catalogue of refusals: the same status and words for every refusal of one reason. */
+/** Response for each refusal reason. */
 export const refusals: Readonly<Record<RefusalReason, Refusal>> = {
 	[RefusalReason.BadRequest]: notRun(400),
 	[RefusalReason.NoService]: notRun(404),
--- a/src/call/request-head.ts
+++ b/src/call/request-head.ts
@@ -1,15 +1,15 @@
-/** Header names and values in turn, as they came over the wire. */
+/** Alternating header names and values, as received. */
 export type HeaderList = string[];
 
-/** Where a request comes from and how urgent it is. */
+/** Origin and priority of a request. */
 export interface RequestOrigin {
 	/** Identifies the request in logs and at the backend server. */
 	readonly requestId: string;
-	/** Service beside whose backend server the request entered; empty where there is none. */
+	/** Service of the backend server at the node that received the request; empty if there is none. */
 	readonly caller: string;
-	/** Name of the route that took the request; empty for requests that name their service. */
+	/** Name of the route that matched the request; empty for requests that name their service. */
 	readonly route: string;
-	/** Rank among the requests of a service; 0 is the most urgent. */
+	/** Priority among the requests of a service; 0 is the most urgent. */
 	readonly priority: number;
 }
 
@@ -19,13 +19,13 @@
 	readonly customer: string;
 	readonly method: string;
 	readonly path: string;
-	/** End-to-end headers; hop-by-hop ones are left out. */
+	/** End-to-end headers; hop-by-hop headers are removed. */
 	readonly headers: HeaderList;
 	/** Whether the declaration allows this request to run more than once. */
 	readonly isIdempotent: boolean;
 	/** The caller's idempotency key, if it sent one. */
 	readonly key: string | undefined;
 	readonly origin: RequestOrigin;
-	/** Hash that is the same for equal requests. */
+	/** Hash of the request; equal requests have equal hashes. */
 	readonly fingerprint: string;
 }
