--- a/src/budget/ratio-budget.ts
+++ b/src/budget/ratio-budget.ts
@@ -1,27 +1,25 @@
 const defaultBurst = 10;
 
-/**
- * Allows further attempts as a share of calls, so that retries cannot feed an overload.
- */
+/** Limits additional attempts to a share of calls, so that retries cannot amplify an overload. */
 export class RatioBudget {
 	private tokens: number;
 
 	/**
-	 * @param burst - further attempts that can be saved up.
+	 * @param burst - maximum number of additional attempts that can be accumulated.
 	 */
 	constructor(private readonly burst = defaultBurst) {
 		this.tokens = burst;
 	}
 
 	/**
-	 * A call has come in.
-	 * @param share - further attempts allowed for each call.
+	 * Adds the allowance of one call.
+	 * @param share - additional attempts allowed per call.
 	 */
 	deposit(share: number): void {
 		this.tokens = Math.min(this.burst, this.tokens + share);
 	}
 
-	/** @returns whether one further attempt may be made; it is then spent. */
+	/** @returns whether one additional attempt is allowed; if so, it is deducted. */
 	trySpend(): boolean {
 		if (this.tokens < 1) {
 			return false;
--- a/src/budget/token-bucket.ts
+++ b/src/budget/token-bucket.ts
@@ -1,38 +1,38 @@
 import {second, type Clock, type Millis} from '../clock/index.js';
 
-/** Limits a rate: bytes on a link, or ms of probes at a backend server. */
+/** Limits a rate, such as bytes on a link or ms of probes at a backend server. */
 export class TokenBucket {
 	private tokens: number;
 	private at: Millis;
 
 	constructor(
 		private readonly clock: Pick<Clock, 'now'>,
-		/** Tokens for each second. */
+		/** Tokens per second. */
 		private rate: number,
-		/** Tokens that can be saved up, in seconds of the rate. */
-		private readonly depth = 1,
+		/** Burst capacity, in seconds of the rate. */
+		private readonly burstSeconds = 1,
 	) {
-		this.tokens = rate * depth;
+		this.tokens = rate * burstSeconds;
 		this.at = clock.now();
 	}
 
-	/** Tokens that can be spent now; below 0 after more was spent than there was. */
+	/** Available tokens; negative after {@link charge} has exceeded them. */
 	get level(): number {
 		this.refill();
 		return this.tokens;
 	}
 
 	/**
-	 * @param rate - tokens for each second from now on.
+	 * @param rate - new rate in tokens per second.
 	 */
 	setRate(rate: number): void {
 		this.refill();
 		this.rate = rate;
-		this.tokens = Math.min(this.tokens, rate * this.depth);
+		this.tokens = Math.min(this.tokens, rate * this.burstSeconds);
 	}
 
 	/**
-	 * Spends what has been used already, even if it was not allowed.
+	 * Deducts tokens that have already been used, even beyond the available ones.
 	 * @param amount - tokens.
 	 */
 	charge(amount: number): void {
@@ -42,7 +42,7 @@
 
 	/**
 	 * @param amount - tokens.
-	 * @returns whether so much may be used; it is then spent.
+	 * @returns whether the tokens are available; if so, they are deducted.
 	 */
 	trySpend(amount: number): boolean {
 		this.refill();
@@ -57,7 +57,7 @@
 	private refill(): void {
 		const now = this.clock.now();
 		const earned = ((now - this.at) / second) * this.rate;
-		this.tokens = Math.min(this.rate * this.depth, this.tokens + earned);
+		this.tokens = Math.min(this.rate * this.burstSeconds, this.tokens + earned);
 		this.at = now;
 	}
 }
