--- a/src/backend/pacing.ts
+++ b/src/backend/pacing.ts
@@ -21,11 +21,6 @@
  * @param input - the call and the state of the backend server.
  * @returns whether to delay the call until the end of the slow period.
  */
-export function shouldDelayStart({
-	work,
-	slowdown,
-	slowPeriodLeft: spellLeft,
-	timeLeft,
-}: PacingInput): boolean {
-	return work * (slowdown - 1) > spellLeft || work * slowdown > timeLeft;
+export function shouldDelayStart({work, slowdown, slowPeriodLeft, timeLeft}: PacingInput): boolean {
+	return work * (slowdown - 1) > slowPeriodLeft || work * slowdown > timeLeft;
 }
