--- a/src/call/refusal-reason.ts
+++ b/src/call/refusal-reason.ts
@@ -56,8 +56,8 @@
 const unavailable = 503;
 const gatewayTimeout = 504;
 
-function notRun(status: number, retryAfter?: Millis, isElsewhereUseful = false): Refusal {
-	return {outcome: Outcome.NotRun, status, retryAfter, canRetryElsewhere: isElsewhereUseful};
+function notRun(status: number, retryAfter?: Millis, canRetryElsewhere = false): Refusal {
+	return {outcome: Outcome.NotRun, status, retryAfter, canRetryElsewhere};
 }
 
 function unknown(): Refusal {
