--- a/src/membership/__tests__/test-gossip.ts
+++ b/src/membership/__tests__/test-gossip.ts
@@ -2,12 +2,12 @@
 import {createRandom} from '../../random/index.js';
 import {createLocalMember, defaultGossipSettings, Gossip, type GossipHost} from '../index.js';
 
-const noNews = {accepted: 0, acceptedHash: '', staged: 0, stagedHash: ''};
+const noRevisions = {accepted: 0, acceptedHash: '', staged: 0, stagedHash: ''};
 
 /**
- * @param clock - the time of the test.
- * @param host - what the test wants to hear; the rest is dropped.
- * @returns the gossip of the node 10.0.0.1:7001 in region r and zone z.
+ * @param clock - clock of the test.
+ * @param host - callbacks that the test overrides; the others do nothing.
+ * @returns the gossip instance of node 10.0.0.1:7001 in region r and zone z.
  */
 export function createTestGossip(
 	clock: Pick<Clock, 'now'>,
@@ -20,7 +20,7 @@
 		host: {
 			send: () => undefined,
 			mayProbe: () => true,
-			knownRevisions: () => noNews,
+			knownRevisions: () => noRevisions,
 			handleKnownRevisions: () => undefined,
 			handleRumor: () => undefined,
 			handleHeldRevision: () => undefined,
--- a/src/membership/__tests__/unit/gossip-codec.test.ts
+++ b/src/membership/__tests__/unit/gossip-codec.test.ts
@@ -25,7 +25,7 @@
 	],
 	full: [self],
 	rumors: [{id: 'crash 1', kind: RumorKind.Crash, fields: ['x', 'y']}],
-	revisions: revisions,
+	revisions,
 };
 const messages: GossipMessage[] = [
 	{type: GossipType.Ping, sender, sequence: 1, piggyback},
@@ -37,16 +37,16 @@
 		senderMember: self,
 		checksums: new Uint32Array(256).fill(2 ** 32 - 1),
 	},
-	{type: GossipType.Entries, sender, members: [self], revisions: revisions},
+	{type: GossipType.Entries, sender, members: [self], revisions},
 	{type: GossipType.HeldRevision, sender, revision: 12},
 ];
 
 describe('gossip codec', () => {
-	it.each(messages)('carries a message of type $type unchanged', (message) => {
+	it.each(messages)('round-trips a message of type $type', (message) => {
 		expect(decodeGossip(encodeGossip(message))).toEqual(message);
 	});
 
-	it('turns any bytes into a message or a decode error', () => {
+	it('decodes arbitrary bytes to a message or throws GossipDecodeError', () => {
 		fc.assert(
 			fc.property(fc.uint8Array({maxLength: 200}), (bytes) => {
 				try {
@@ -59,7 +59,7 @@
 		);
 	});
 
-	it('turns a damaged message into a message or a decode error', () => {
+	it('decodes a corrupted message to a message or throws GossipDecodeError', () => {
 		const mutation = fc.record({
 			which: fc.nat(messages.length - 1),
 			at: fc.nat(),
--- a/src/membership/directory.ts
+++ b/src/membership/directory.ts
@@ -2,21 +2,21 @@
 import {hash32, hash48} from '../util/index.js';
 import {compareMemberRecords, isPresent, isUnconfirmed, type Member} from './member.js';
 
-/** Buckets over which digests are taken. */
+/** Number of buckets in a digest. */
 export const bucketCount = 256;
 
-/** Hears of each change of a member. */
+/** Called after each change of a member. */
 export type MemberListener = (member: Member, previous: Member | undefined) => void;
 
 /**
- * @param member - whose hash is wanted.
- * @returns a hash of address and incarnation, by which brief updates name a member.
+ * @param member - id and incarnation of a member.
+ * @returns a hash of both, which identifies the member in brief updates.
  */
 export function memberHash(member: Pick<Member, 'id' | 'incarnation'>): number {
 	return hash48(`${member.id}#${member.incarnation}`);
 }
 
-function accountChecksum(member: Member): number {
+function memberChecksum(member: Member): number {
 	const {id, incarnation, version, liveness, phase} = member;
 	return hash32(`${id}#${incarnation}.${version}.${liveness}.${phase}`);
 }
@@ -25,7 +25,7 @@
 	return `${region} ${zone}`;
 }
 
-/** All members that a node knows, and the one rule by which accounts replace each other. */
+/** All members that a node knows. A record replaces another only by {@link compareMemberRecords}. */
 export class Directory {
 	private readonly members = new Map<string, Member>();
 	private readonly hashes = new Map<number, string>();
@@ -36,7 +36,7 @@
 	private readonly zoneSizes = new Map<string, number>();
 	private changes = 0;
 
-	/** Grows with each change of a member. */
+	/** Increases with each change of a member. */
 	get changeCount(): number {
 		return this.changes;
 	}
@@ -47,7 +47,7 @@
 
 	/**
 	 * @param id - address of a member.
-	 * @returns what is known of it.
+	 * @returns its record; undefined when the member is unknown.
 	 */
 	get(id: string): Member | undefined {
 		return this.members.get(id);
@@ -55,60 +55,60 @@
 
 	/**
 	 * @param hash - hash of a member's id and incarnation.
-	 * @returns what is known of it.
+	 * @returns its record; undefined when the member is unknown.
 	 */
 	byHash(hash: number): Member | undefined {
 		const id = this.hashes.get(hash);
 		return id === undefined ? undefined : this.members.get(id);
 	}
 
-	/** @returns every member, tombstones included. */
+	/** @returns every member, including tombstones. */
 	all(): IterableIterator<Member> {
 		return this.members.values();
 	}
 
 	/**
 	 * @param service - name of a service.
-	 * @returns the members whose backend server belongs to it.
+	 * @returns the members whose backend server provides it.
 	 */
 	ofService(service: string): Iterable<Member> {
 		return this.services.get(service)?.values() ?? [];
 	}
 
-	/** @returns a checksum for each bucket; equal sets have equal checksums. */
+	/** @returns a checksum for each bucket; equal sets of records have equal checksums. */
 	digest(): Uint32Array {
 		return this.checksums;
 	}
 
 	/**
 	 * @param id - address of a member.
-	 * @returns the bucket in which its account is counted.
+	 * @returns the bucket whose checksum covers its record.
 	 */
 	bucketOf(id: string): number {
 		return hash32(id) % bucketCount;
 	}
 
 	/**
-	 * Takes an account when it overrides the known one.
-	 * @param account - what somebody says of a member.
-	 * @returns whether something changed.
+	 * Stores a record when it overrides the known one, and notifies the listeners.
+	 * @param update - a record of a member.
+	 * @returns whether the record was stored.
 	 */
-	merge(account: Member): boolean {
-		const known = this.members.get(account.id);
-		if (known && compareMemberRecords(account, known) <= 0) {
+	merge(update: Member): boolean {
+		const known = this.members.get(update.id);
+		if (known && compareMemberRecords(update, known) <= 0) {
 			return false;
 		}
 
-		this.replace(known, account);
+		this.replace(known, update);
 		for (const listener of this.listeners) {
-			listener(account, known);
+			listener(update, known);
 		}
 
 		return true;
 	}
 
 	/**
-	 * Forgets a member that is gone.
+	 * Removes a member without notifying the listeners.
 	 * @param id - its address.
 	 */
 	remove(id: string): void {
@@ -129,7 +129,7 @@
 		};
 	}
 
-	/** @returns how many members still run as far as is known. */
+	/** @returns the number of members that have neither left nor been declared dead. */
 	countPresent(): number {
 		let count = 0;
 		for (const member of this.members.values()) {
@@ -141,7 +141,7 @@
 
 	/**
 	 * @param region - name of a region.
-	 * @returns how many members of it still run as far as is known.
+	 * @returns the number of its members that have neither left nor been declared dead.
 	 */
 	countInRegion(region: string): number {
 		return this.regionSizes.get(region) ?? 0;
@@ -149,7 +149,7 @@
 
 	/**
 	 * @param region - name of a region.
-	 * @returns whether members of another region were ever known; they may be cut off for now.
+	 * @returns whether members of another region were ever known, even if none is reachable now.
 	 */
 	hasSeenOtherRegion(region: string): boolean {
 		return this.regionSizes.size > (this.regionSizes.has(region) ? 1 : 0);
@@ -157,48 +157,48 @@
 
 	/**
 	 * @param place - a region and a zone of it.
-	 * @returns how many members of the zone still run as far as is known.
+	 * @returns the number of the zone's members that have neither left nor been declared dead.
 	 */
 	countInZone(place: Pick<Member, 'region' | 'zone'>): number {
 		return this.zoneSizes.get(zoneKey(place)) ?? 0;
 	}
 
-	private countPlaces(member: Member, change: number): void {
+	private adjustCounts(member: Member, delta: number): void {
 		if (isPresent(member)) {
 			const {region} = member;
 			const zone = zoneKey(member);
-			this.regionSizes.set(region, this.countInRegion(region) + change);
-			this.zoneSizes.set(zone, this.countInZone(member) + change);
+			this.regionSizes.set(region, this.countInRegion(region) + delta);
+			this.zoneSizes.set(zone, this.countInZone(member) + delta);
 		}
 	}
 
-	private replace(known: Member | undefined, account: Member | undefined): void {
+	private replace(known: Member | undefined, next: Member | undefined): void {
 		this.changes += 1;
 		if (known) {
 			this.toggleChecksum(known);
-			this.countPlaces(known, -1);
+			this.adjustCounts(known, -1);
 			this.hashes.delete(memberHash(known));
 			this.services.get(known.service)?.delete(known.id);
 			this.members.delete(known.id);
 		}
 
-		if (account) {
-			this.toggleChecksum(account);
-			this.countPlaces(account, 1);
-			this.hashes.set(memberHash(account), account.id);
-			this.members.set(account.id, account);
-			this.indexService(account);
+		if (next) {
+			this.toggleChecksum(next);
+			this.adjustCounts(next, 1);
+			this.hashes.set(memberHash(next), next.id);
+			this.members.set(next.id, next);
+			this.indexService(next);
 		}
 	}
 
-	private indexService(account: Member): void {
-		const index = this.services.get(account.service) ?? new Map<string, Member>();
-		index.set(account.id, account);
-		this.services.set(account.service, index);
+	private indexService(member: Member): void {
+		const index = this.services.get(member.service) ?? new Map<string, Member>();
+		index.set(member.id, member);
+		this.services.set(member.service, index);
 	}
 
-	// Exclusive or: adding and removing an account are the same step, in any order. What is only
-	// presumed is no news for others.
+	// Exclusive or, so that adding and removing a record are the same operation, in any order.
+	// Unconfirmed members are excluded: they are not gossiped to others.
 	private toggleChecksum(member: Member): void {
 		if (isUnconfirmed(member)) {
 			return;
@@ -206,6 +206,6 @@
 
 		const bucket = this.bucketOf(member.id);
 		// eslint-disable-next-line no-bitwise
-		this.checksums[bucket] = (this.checksums[bucket]! ^ accountChecksum(member)) >>> 0;
+		this.checksums[bucket] = (this.checksums[bucket]! ^ memberChecksum(member)) >>> 0;
 	}
 }
--- a/src/membership/gossip-codec.ts
+++ b/src/membership/gossip-codec.ts
@@ -12,7 +12,7 @@
 } from './gossip-message.js';
 import {Liveness, MemberPhase, type Member} from './member.js';
 
-/** A datagram that is no gossip message. */
+/** The bytes are not a valid gossip message. */
 export class GossipDecodeError extends Error {
 	override name = 'GossipDecodeError';
 }
@@ -37,7 +37,7 @@
 const briefBytes = 9;
 const checksumBytes = 4;
 const hashBytes = 6;
-const livenessFactor = 16;
+const livenessMultiplier = 16;
 const maxBriefVersion = 0xff_ff;
 
 type Packed = readonly unknown[];
@@ -49,7 +49,7 @@
 		const at = i * briefBytes;
 		view.setUint16(at, Math.floor(update.hash / 2 ** 32));
 		view.setUint32(at + 2, update.hash % 2 ** 32);
-		view.setUint8(at + hashBytes, update.liveness * livenessFactor + update.phase);
+		view.setUint8(at + hashBytes, update.liveness * livenessMultiplier + update.phase);
 		view.setUint16(at + hashBytes + 1, Math.min(update.version, maxBriefVersion));
 	}
 
@@ -58,7 +58,7 @@
 
 function unpackBrief(packed: unknown): BriefUpdate[] {
 	if (!(packed instanceof Uint8Array) || packed.length % briefBytes !== 0) {
-		throw new GossipDecodeError('brief updates have a wrong length');
+		throw new GossipDecodeError('brief updates have an invalid length');
 	}
 
 	const view = new DataView(packed.buffer, packed.byteOffset, packed.length);
@@ -67,8 +67,8 @@
 		const state = view.getUint8(at + hashBytes);
 		updates.push({
 			hash: view.getUint16(at) * 2 ** 32 + view.getUint32(at + 2),
-			liveness: asEnum(Math.floor(state / livenessFactor), livenesses),
-			phase: asEnum(state % livenessFactor, phases),
+			liveness: asEnum(Math.floor(state / livenessMultiplier), livenesses),
+			phase: asEnum(state % livenessMultiplier, phases),
 			version: view.getUint16(at + hashBytes + 1),
 		});
 	}
@@ -90,27 +90,27 @@
 	];
 }
 
-function asText(value: unknown): string {
+function asString(value: unknown): string {
 	if (typeof value !== 'string') {
-		throw new GossipDecodeError('a text was expected');
+		throw new GossipDecodeError('expected a string');
 	}
 
 	return value;
 }
 
-function asCount(value: unknown): number {
+function asUnsignedInteger(value: unknown): number {
 	const number = typeof value === 'bigint' ? Number(value) : value;
 	if (typeof number !== 'number' || !Number.isSafeInteger(number) || number < 0) {
-		throw new GossipDecodeError('a whole number from 0 was expected');
+		throw new GossipDecodeError('expected a non-negative integer');
 	}
 
 	return number;
 }
 
 function asEnum<T extends number>(value: unknown, values: readonly T[]): T {
-	const found = values[asCount(value)];
+	const found = values[asUnsignedInteger(value)];
 	if (found === undefined) {
-		throw new GossipDecodeError('an enum value is out of bounds');
+		throw new GossipDecodeError('enum value out of range');
 	}
 
 	return found;
@@ -118,7 +118,7 @@
 
 function asList(value: unknown): readonly unknown[] {
 	if (!Array.isArray(value)) {
-		throw new GossipDecodeError('a list was expected');
+		throw new GossipDecodeError('expected an array');
 	}
 
 	return value;
@@ -127,38 +127,38 @@
 function unpackMember(packed: unknown): Member {
 	const fields = asList(packed);
 	return {
-		id: asText(fields[0]),
-		incarnation: asCount(fields[1]),
-		version: asCount(fields[2]),
+		id: asString(fields[0]),
+		incarnation: asUnsignedInteger(fields[1]),
+		version: asUnsignedInteger(fields[2]),
 		phase: asEnum(fields[3], phases),
 		liveness: asEnum(fields[4], livenesses),
-		region: asText(fields[5]),
-		zone: asText(fields[6]),
-		service: asText(fields[7]),
-		slots: asCount(fields[8]),
+		region: asString(fields[5]),
+		zone: asString(fields[6]),
+		service: asString(fields[7]),
+		slots: asUnsignedInteger(fields[8]),
 	};
 }
 
-function packNews(news: KnownRevisions): Packed {
-	return [news.accepted, news.acceptedHash, news.staged, news.stagedHash];
+function packRevisions(revisions: KnownRevisions): Packed {
+	return [revisions.accepted, revisions.acceptedHash, revisions.staged, revisions.stagedHash];
 }
 
-function unpackNews(packed: unknown): KnownRevisions {
+function unpackRevisions(packed: unknown): KnownRevisions {
 	const fields = asList(packed);
 	return {
-		accepted: asCount(fields[0]),
-		acceptedHash: asText(fields[1]),
-		staged: asCount(fields[2]),
-		stagedHash: asText(fields[3]),
+		accepted: asUnsignedInteger(fields[0]),
+		acceptedHash: asString(fields[1]),
+		staged: asUnsignedInteger(fields[2]),
+		stagedHash: asString(fields[3]),
 	};
 }
 
 function unpackRumor(packed: unknown): Rumor {
 	const fields = asList(packed);
 	return {
-		id: asText(fields[0]),
+		id: asString(fields[0]),
 		kind: asEnum(fields[1], rumorKinds),
-		fields: asList(fields[2]).map((field) => asText(field)),
+		fields: asList(fields[2]).map((field) => asString(field)),
 	};
 }
 
@@ -167,7 +167,7 @@
 		packBrief(piggyback.brief),
 		piggyback.full.map((member) => packMember(member)),
 		piggyback.rumors.map((rumor) => [rumor.id, rumor.kind, rumor.fields]),
-		packNews(piggyback.revisions),
+		packRevisions(piggyback.revisions),
 	];
 }
 
@@ -177,7 +177,7 @@
 		brief: unpackBrief(fields[0]),
 		full: asList(fields[1]).map((member) => unpackMember(member)),
 		rumors: asList(fields[2]).map((rumor) => unpackRumor(rumor)),
-		revisions: unpackNews(fields[3]),
+		revisions: unpackRevisions(fields[3]),
 	};
 }
 
@@ -200,7 +200,10 @@
 		}
 
 		case GossipType.Entries: {
-			return [message.members.map((member) => packMember(member)), packNews(message.revisions)];
+			return [
+				message.members.map((member) => packMember(member)),
+				packRevisions(message.revisions),
+			];
 		}
 
 		case GossipType.HeldRevision: {
@@ -221,7 +224,7 @@
 
 function unpackChecksums(packed: unknown): Uint32Array {
 	if (!(packed instanceof Uint8Array) || packed.length !== bucketCount * checksumBytes) {
-		throw new GossipDecodeError('checksums have a wrong length');
+		throw new GossipDecodeError('checksums have an invalid length');
 	}
 
 	const view = new DataView(packed.buffer, packed.byteOffset, packed.length);
@@ -236,17 +239,22 @@
 function unpackBody(type: GossipType, sender: Sender, body: Packed): GossipMessage {
 	switch (type) {
 		case GossipType.Ping: {
-			return {type, sender, sequence: asCount(body[0]), piggyback: unpackPiggyback(body[1])};
+			return {
+				type,
+				sender,
+				sequence: asUnsignedInteger(body[0]),
+				piggyback: unpackPiggyback(body[1]),
+			};
 		}
 
 		case GossipType.Ack: {
-			const subject = asText(body[1]);
+			const subject = asString(body[1]);
 			const piggyback = unpackPiggyback(body[2]);
-			return {type, sender, sequence: asCount(body[0]), subject, piggyback};
+			return {type, sender, sequence: asUnsignedInteger(body[0]), subject, piggyback};
 		}
 
 		case GossipType.PingRequest: {
-			return {type, sender, sequence: asCount(body[0]), target: asText(body[1])};
+			return {type, sender, sequence: asUnsignedInteger(body[0]), target: asString(body[1])};
 		}
 
 		case GossipType.Digest: {
@@ -256,18 +264,18 @@
 
 		case GossipType.Entries: {
 			const members = asList(body[0]).map((member) => unpackMember(member));
-			return {type, sender, members, revisions: unpackNews(body[1])};
+			return {type, sender, members, revisions: unpackRevisions(body[1])};
 		}
 
 		case GossipType.HeldRevision: {
-			return {type, sender, revision: asCount(body[0])};
+			return {type, sender, revision: asUnsignedInteger(body[0])};
 		}
 	}
 }
 
 /**
- * @param message - what to send.
- * @returns the bytes of a datagram.
+ * @param message - the message.
+ * @returns its encoding, without the authentication tag.
  */
 export function encodeGossip(message: GossipMessage): Uint8Array {
 	const {id, incarnation, version} = message.sender;
@@ -275,24 +283,24 @@
 }
 
 /**
- * @param bytes - a datagram.
+ * @param bytes - an encoded message, without the authentication tag.
  * @returns the message.
- * @throws {@link GossipDecodeError} when the bytes are no gossip message.
+ * @throws {@link GossipDecodeError} when the bytes are not a valid gossip message.
  */
 export function decodeGossip(bytes: Uint8Array): GossipMessage {
 	let packed: unknown;
 	try {
 		packed = packr.unpack(bytes);
 	} catch (err) {
-		throw new GossipDecodeError('not msgpack', {cause: err});
+		throw new GossipDecodeError('invalid MessagePack data', {cause: err});
 	}
 
 	const fields = asList(packed);
 	const type = asEnum(fields[0], gossipTypes);
 	const sender = {
-		id: asText(fields[1]),
-		incarnation: asCount(fields[2]),
-		version: asCount(fields[3]),
+		id: asString(fields[1]),
+		incarnation: asUnsignedInteger(fields[2]),
+		version: asUnsignedInteger(fields[3]),
 	};
 	return unpackBody(type, sender, asList(fields[4]));
 }
--- a/src/membership/gossip-message.ts
+++ b/src/membership/gossip-message.ts
@@ -3,21 +3,21 @@
 
 /** Kinds of gossip message; the values are part of the wire format. */
 export enum GossipType {
-	/** Asks for a sign of life. */
+	/** Probes a member, which answers with an {@link GossipType.Ack}. */
 	Ping = 0,
-	/** A sign of life. */
+	/** Answers a ping. */
 	Ack = 1,
-	/** Asks a third member to ping a target. */
+	/** Asks another member to ping a target (indirect probe). */
 	PingRequest = 2,
-	/** Checksums of what the sender knows, bucket by bucket. */
+	/** Checksum of the sender's member records for each bucket. */
 	Digest = 3,
-	/** Full accounts of members. */
+	/** Full member records. */
 	Entries = 4,
-	/** Tells a reader which revision the sender holds. */
+	/** Reports the revision whose content the sender holds. */
 	HeldRevision = 5,
 }
 
-/** A change of a member that the receiver knows already, in few bytes. */
+/** Compact update of a member that the receiver already knows. */
 export interface BriefUpdate {
 	/** Hash of the member's id and incarnation. */
 	readonly hash: number;
@@ -28,31 +28,31 @@
 
 /** Kinds of rumor; the values are part of the wire format. */
 export enum RumorKind {
-	/** A backend server crashed while certain requests were in flight. */
+	/** A backend server crashed while requests were in flight. */
 	Crash = 0,
 	/** An operator lifted a hold. */
 	HoldLifted = 1,
-	/** A member handed its remembered keys to another. */
+	/** A member handed its idempotency keys over to another. */
 	Handover = 2,
 }
 
-/** A piece of news that every member hears once. */
+/** An event that is disseminated to all members; each handles it once. */
 export interface Rumor {
-	/** Unique over the deployment. */
+	/** Unique within the deployment. */
 	readonly id: string;
 	readonly kind: RumorKind;
-	/** Content; its form depends on the kind. */
+	/** Payload; its layout depends on the kind. */
 	readonly fields: readonly string[];
 }
 
-/** Who sends a message. */
+/** The sending member. */
 export interface Sender {
 	readonly id: string;
 	readonly incarnation: number;
 	readonly version: number;
 }
 
-/** News that rides on probes. */
+/** Updates piggybacked on pings and acks. */
 export interface Piggyback {
 	readonly brief: readonly BriefUpdate[];
 	readonly full: readonly Member[];
@@ -71,7 +71,7 @@
 	readonly type: GossipType.Ack;
 	readonly sender: Sender;
 	readonly sequence: number;
-	/** Whose sign of life this is. */
+	/** Id of the member that answered the ping; differs from the sender when an ack is relayed. */
 	readonly subject: string;
 	readonly piggyback: Piggyback;
 }
@@ -86,7 +86,7 @@
 export interface Digest {
 	readonly type: GossipType.Digest;
 	readonly sender: Sender;
-	/** The sender's own account, so that a newcomer is known at once. */
+	/** The sender's own record, so that a newly started member is known at once. */
 	readonly senderMember: Member;
 	readonly checksums: Uint32Array;
 }
--- a/src/membership/gossip-settings.ts
+++ b/src/membership/gossip-settings.ts
@@ -1,52 +1,54 @@
 import {minute, second, type Millis} from '../clock/index.js';
 
-/** Rates and limits of the gossip. */
+/** Rates and limits of the gossip protocol. */
 export interface GossipSettings {
-	/** Time between two probes of the member that this node watches. */
+	/** Time between two probes of the member that this node monitors. */
 	readonly probePeriod: Millis;
-	/** Each so many-th probe goes along with one to a random member, which carries news. */
+	/** Probe periods per additional probe of a random member, which disseminates updates. */
 	readonly probesPerRandomProbe: number;
-	/** Members a second that are probed at once as a link to them broke, and how many at a time. */
+	/** Suspicion probes per second, sent immediately when the link to a member breaks. */
 	readonly suspicionProbeRate: number;
+	/** Seconds of the suspicion probe rate that can accumulate as a burst. */
 	readonly suspicionProbeBurstSeconds: number;
-	/** How long a direct probe may take. */
+	/** Time-out of a direct probe. */
 	readonly directTimeout: Millis;
-	/** How long an indirect probe may take. */
+	/** Time-out of an indirect probe. */
 	readonly indirectTimeout: Millis;
-	/** Members that are asked to probe for this node. */
+	/** Members that are asked to send an indirect probe. */
 	readonly indirectProbes: number;
-	/** How long a member is suspected before it counts as dead. */
+	/** Time from suspicion until a member is declared dead. */
 	readonly suspicionTime: Millis;
-	/** Time between two digests while members disagree. */
+	/** Mean time between two digests while member records differ. */
 	readonly minDigestPeriod: Millis;
-	/** Time between two digests while members agree. */
+	/** Mean time between two digests while member records are equal. */
 	readonly maxDigestPeriod: Millis;
-	/** Pushes a second of news that cannot wait for the next probe. */
+	/** Broadcasts per second of updates that cannot wait for the next probe. */
 	readonly urgentBroadcastRate: number;
-	/** Bytes a second for accounts that repair what others have missed. */
+	/** Bytes per second of member records sent for anti-entropy repair. */
 	readonly repairBytesPerSecond: number;
-	/** Time between two probes of members that count as dead. */
+	/** Time between two probes of members that were declared dead. */
 	readonly deadMemberProbePeriod: Millis;
-	/** How long a dead member is remembered, so that old accounts don't bring it back. */
+	/** How long a dead or departed member is kept, so that stale records don't resurrect it. */
 	readonly tombstoneTime: Millis;
-	/** Share of probes that leave the zone, from 0 to 1. */
+	/** Share of random probes to other zones of the region, from 0 to 1. */
 	readonly otherZoneShare: number;
-	/** Probes a second that leave a region, all its members together. */
+	/** Random probes per second to other regions, over all members of a region. */
 	readonly otherRegionRate: number;
-	/** Bounds of the share of a member's probes that leave the region, from 0 to 1. */
+	/** Lower bound of the share of a member's random probes to other regions, from 0 to 1. */
 	readonly minOtherRegionShare: number;
+	/** Upper bound of the same share. */
 	readonly maxOtherRegionShare: number;
-	/** Bytes of news on one probe. */
+	/** Maximum bytes of queued updates on one message. */
 	readonly piggybackBytes: number;
-	/** How often each piece of news is sent within the region. */
+	/** Number of times that each update is sent within the region. */
 	readonly copies: number;
-	/** The same for news that pushes carry: each push and each answer to one takes a copy. */
+	/** The same for urgent updates: each broadcast message and each answer to one uses up a copy. */
 	readonly urgentCopies: number;
-	/** How often each piece of news is sent to other regions. */
+	/** Number of times that each update is sent to other regions. */
 	readonly farCopies: number;
-	/** Pieces of news kept at the most. */
+	/** Maximum number of queued updates. */
 	readonly queueCapacity: number;
-	/** A tick that comes this much late tells of a pause of the process. */
+	/** A tick that is late by more than this indicates that the process was paused. */
 	readonly pauseThreshold: Millis;
 }
 
--- a/src/membership/gossip.ts
+++ b/src/membership/gossip.ts
@@ -32,45 +32,45 @@
 import {SeenRumors} from './rumor-memory.js';
 import {UpdateQueue, type QueuedUpdate} from './update-queue.js';
 
-/** What the gossip needs from its host. */
+/** Transport and callbacks that the owner of a {@link Gossip} provides. */
 export interface GossipHost {
 	/**
 	 * Sends a datagram; it may be lost.
 	 * @param to - id of the receiver, which is its address.
-	 * @param message - what to send.
+	 * @param message - the message.
 	 */
 	send(to: string, message: GossipMessage): void;
 	/**
-	 * @param member - a member that is to be probed.
-	 * @returns whether the budget of the link to it allows that.
+	 * @param member - a member to probe.
+	 * @returns whether the budget of the link to it allows a probe.
 	 */
 	mayProbe(member: Member): boolean;
-	/** @returns the newest revisions that this node has heard of. */
+	/** @returns the newest revisions that this node knows. */
 	knownRevisions(): KnownRevisions;
 	/**
-	 * Hears what a peer knows of revisions.
-	 * @param news - the peer's newest revisions.
+	 * Called with the revisions that a peer knows.
+	 * @param revisions - the peer's newest revisions.
 	 * @param from - id of the peer.
 	 */
-	handleKnownRevisions(news: KnownRevisions, from: string): void;
+	handleKnownRevisions(revisions: KnownRevisions, from: string): void;
 	/**
-	 * Hears a rumor for the first time.
-	 * @param rumor - the news.
+	 * Called when a rumor is received for the first time.
+	 * @param rumor - the rumor.
 	 */
 	handleRumor(rumor: Rumor): void;
 	/**
-	 * Hears which revision a peer holds.
+	 * Called when a peer reports the revision that it holds.
 	 * @param held - the peer's message.
 	 */
 	handleHeldRevision(held: HeldRevision): void;
 	/**
-	 * Learns that this process was not scheduled for a while.
-	 * @param pause - how long, in ms.
+	 * Called when this process was not scheduled for a while.
+	 * @param pause - length of the pause, in ms.
 	 */
 	handlePause(pause: Millis): void;
 }
 
-/** What a gossip is made of. */
+/** Collaborators of {@link Gossip}. */
 export interface GossipDependencies {
 	readonly settings: GossipSettings;
 	readonly clock: Pick<Clock, 'now'>;
@@ -81,20 +81,20 @@
 type Probe = {target: string; isIndirect: boolean; until: Millis};
 type Relay = {origin: string; sequence: number; until: Millis};
 
-const briefSize = 9;
-const fullSize = 96;
-const rumorOverhead = 24;
+const briefUpdateBytes = 9;
+const fullUpdateBytes = 96;
+const rumorOverheadBytes = 24;
 const entriesPerMessage = 12;
-/** Seconds of the repair budget that can be saved up, so that a newcomer is served at once. */
-const repairDepth = 10;
-/** Seconds of the budget of urgent pushes that can be saved up. */
-const urgentDepth = 4;
+/** Seconds of the repair budget that can accumulate, so that a new member gets all records at once. */
+const repairBurstSeconds = 10;
+/** Seconds of the urgent broadcast budget that can accumulate. */
+const urgentBurstSeconds = 4;
 const urgentFanOut = 3;
-/** Pushes of urgent news by each member that hears it. With one, one member in 20 hears nothing. */
-const urgentPushes = 3;
+/** Broadcasts of an urgent update by each member that receives it. With one, 1 member in 20 misses it. */
+const urgentBroadcastCount = 3;
 
-function rumorSize(rumor: Rumor): number {
-	let size = rumorOverhead + rumor.id.length;
+function rumorBytes(rumor: Rumor): number {
+	let size = rumorOverheadBytes + rumor.id.length;
 	for (const field of rumor.fields) {
 		size += field.length + 2;
 	}
@@ -103,15 +103,15 @@
 }
 
 /**
- * Membership by gossip: each node probes others at a fixed rate and news rides on the probes, so
- * that the cost of a node does not grow with the number of nodes.
+ * SWIM-style gossip membership: each node probes others at a fixed rate and piggybacks updates on the
+ * probes, so that the cost per node does not grow with the number of nodes.
  * Source: Das, Gupta and Motivala, "SWIM: scalable weakly-consistent infection-style process group
  * membership protocol", 2002.
  */
 export class Gossip {
 	readonly directory = new Directory();
-	private readonly nearQueue: UpdateQueue;
-	private readonly farQueue: UpdateQueue;
+	private readonly sameRegionQueue: UpdateQueue;
+	private readonly otherRegionQueue: UpdateQueue;
 	private readonly targets: ProbeTargets;
 	private readonly rumors = new SeenRumors();
 	private readonly probes = new Map<number, Probe>();
@@ -122,39 +122,39 @@
 	private sequence = 0;
 	private lastTick: Millis;
 	private nextDigest: Millis;
-	private nextReachOut: Millis;
+	private nextDeadMemberProbe: Millis;
 	private ticks = 0;
-	private urgentPushesLeft = 0;
+	private urgentBroadcastsLeft = 0;
 	private readonly urgentBudget: TokenBucket;
 	private digestPeriod: Millis;
 	private readonly repairBudget: TokenBucket;
-	private readonly doubtBudget: TokenBucket;
-	private quietUntil = 0;
-	private heardAt: Millis;
+	private readonly suspicionProbeBudget: TokenBucket;
+	private nextIntroductionAt = 0;
+	private receivedAt: Millis;
 
 	private readonly settings: GossipSettings;
 	private readonly clock: Pick<Clock, 'now'>;
 	private readonly random: Random;
 	private readonly host: GossipHost;
 
-	constructor(self: Member, parts: GossipDependencies) {
-		const {settings, clock, random, host} = parts;
+	constructor(self: Member, deps: GossipDependencies) {
+		const {settings, clock, random, host} = deps;
 		this.self = self;
 		this.settings = settings;
 		this.clock = clock;
 		this.random = random;
 		this.host = host;
-		this.nearQueue = new UpdateQueue(settings.copies, settings.queueCapacity);
-		this.farQueue = new UpdateQueue(settings.farCopies, settings.queueCapacity);
+		this.sameRegionQueue = new UpdateQueue(settings.copies, settings.queueCapacity);
+		this.otherRegionQueue = new UpdateQueue(settings.farCopies, settings.queueCapacity);
 		this.targets = new ProbeTargets(() => this.self, this.directory, settings, random);
 		this.lastTick = clock.now();
-		this.heardAt = clock.now();
+		this.receivedAt = clock.now();
 		this.nextDigest = clock.now();
-		this.nextReachOut = clock.now();
+		this.nextDeadMemberProbe = clock.now();
 		this.digestPeriod = settings.minDigestPeriod;
-		this.urgentBudget = new TokenBucket(clock, settings.urgentBroadcastRate, urgentDepth);
-		this.repairBudget = new TokenBucket(clock, settings.repairBytesPerSecond, repairDepth);
-		this.doubtBudget = new TokenBucket(
+		this.urgentBudget = new TokenBucket(clock, settings.urgentBroadcastRate, urgentBurstSeconds);
+		this.repairBudget = new TokenBucket(clock, settings.repairBytesPerSecond, repairBurstSeconds);
+		this.suspicionProbeBudget = new TokenBucket(
 			clock,
 			settings.suspicionProbeRate,
 			settings.suspicionProbeBurstSeconds,
@@ -165,32 +165,32 @@
 		this.directory.merge(self);
 	}
 
-	/** The node's own account. */
+	/** Record of this node. */
 	get localMember(): Member {
 		return this.self;
 	}
 
-	/** When something last came from any member. */
+	/** Time at which the last message from any member was received. */
 	get lastReceivedAt(): Millis {
-		return this.heardAt;
+		return this.receivedAt;
 	}
 
-	/** Pieces of news that still wait to be sent. */
+	/** Number of updates queued for members of the region. */
 	get pendingUpdates(): number {
-		return this.nearQueue.size;
+		return this.sameRegionQueue.size;
 	}
 
 	/**
-	 * Declares a change of this node.
-	 * @param change - what is new.
+	 * Changes the record of this node and announces the change.
+	 * @param change - the changed fields.
 	 */
 	updateLocalMember(change: Partial<Pick<Member, 'phase' | 'service' | 'slots'>>): void {
-		this.replaceSelf({...this.self, ...change, version: this.self.version + 1});
+		this.replaceLocalMember({...this.self, ...change, version: this.self.version + 1});
 	}
 
 	/**
-	 * Tells every member a piece of news.
-	 * @param rumor - the news.
+	 * Sends a rumor to all members.
+	 * @param rumor - the rumor.
 	 */
 	spreadRumor(rumor: Rumor): void {
 		if (this.rumors.addIfNew(rumor.id)) {
@@ -200,7 +200,7 @@
 	}
 
 	/**
-	 * Introduces this node to a peer that may not know it.
+	 * Sends a digest with this node's record to a peer that may not know it.
 	 * @param peer - address of the peer.
 	 */
 	join(peer: string): void {
@@ -208,10 +208,10 @@
 	}
 
 	/**
-	 * Greets a member that the store names. Once it gives a sign of life it is taken for one that
-	 * serves, until its account comes.
+	 * Adds an unconfirmed member that the store lists, and pings it. Once a message from it arrives, it
+	 * counts as serving until its own record is received.
 	 * @param id - address of the member.
-	 * @param place - where it stands, and the service of its backend server.
+	 * @param place - its region and zone, and the service of its backend server.
 	 */
 	addUnconfirmed(id: string, place: Pick<Member, 'region' | 'zone' | 'service'>): void {
 		if (!this.directory.get(id)) {
@@ -222,8 +222,8 @@
 	}
 
 	/**
-	 * Sends what is new to some members of the region at once, without waiting for the next probe.
-	 * @param count - how many members.
+	 * Sends queued updates to random members of the region without waiting for the next probe.
+	 * @param count - maximum number of members.
 	 */
 	broadcastUpdates(count: number): void {
 		for (const peer of this.targets.samplePeers(count, this.self)) {
@@ -231,7 +231,7 @@
 		}
 	}
 
-	/** Sends the news to some peers at once; for a node that is about to leave. */
+	/** Sends queued updates to some peers immediately; called by a node that is about to leave. */
 	flush(): void {
 		const peers = [...this.directory.all()].filter(
 			(member) => member.id !== this.self.id && isPresent(member),
@@ -242,8 +242,8 @@
 	}
 
 	/**
-	 * Tells a reader which revision this node holds.
-	 * @param reader - id of the reader.
+	 * Reports to a peer which revision this node holds.
+	 * @param reader - id of the receiver, a member that follows the store for its zone.
 	 * @param revision - the revision.
 	 */
 	sendHeldRevision(reader: string, revision: number): void {
@@ -258,25 +258,25 @@
 		return this.directory.registerListener(listener);
 	}
 
-	/** Whether {@link checkProbes} has something to look after. */
+	/** Whether {@link checkProbes} has probes to expire or urgent updates to broadcast. */
 	get hasPendingChecks(): boolean {
-		return this.urgentPushesLeft > 0 || this.probes.size > 0 || this.relays.size > 0;
+		return this.urgentBroadcastsLeft > 0 || this.probes.size > 0 || this.relays.size > 0;
 	}
 
 	/**
-	 * Probes a member at once, as a link to it broke without a word.
+	 * Probes a member immediately, because a link to it broke without a leave message.
 	 * @param id - address of the member.
 	 */
 	sendSuspicionProbe(id: string): void {
 		const member = this.directory.get(id);
-		const isTrusted = member?.liveness === Liveness.Alive && isPresent(member);
+		const isAlive = member?.liveness === Liveness.Alive && isPresent(member);
 		const isProbed = [...this.probes.values()].some(({target}) => target === id);
-		if (isTrusted && !isProbed && this.doubtBudget.trySpend(1)) {
+		if (isAlive && !isProbed && this.suspicionProbeBudget.trySpend(1)) {
 			this.probe(member, this.clock.now());
 		}
 	}
 
-	/** Does what is due; called once a probe period. */
+	/** Runs all periodic work; called once per probe period. */
 	tick(): void {
 		const now = this.clock.now();
 		const lateness = now - this.lastTick - this.settings.probePeriod;
@@ -290,25 +290,25 @@
 		this.expireTombstones(now);
 		this.sendProbes(now);
 		this.sendDigest(now);
-		this.reachOut(now);
+		this.probeDeadMember(now);
 	}
 
-	/** Looks for probes that went unanswered; called often while {@link hasPendingChecks}. */
+	/** Expires unanswered probes; called frequently while {@link hasPendingChecks}. */
 	checkProbes(): void {
 		const now = this.clock.now();
 		if (now - this.lastTick < this.settings.probePeriod + this.settings.pauseThreshold) {
 			this.expireProbes(now);
-			this.pushUrgent();
+			this.broadcastUrgentUpdates();
 		}
 	}
 
 	/**
-	 * Takes in a message.
-	 * @param message - what came.
+	 * Handles a received message.
+	 * @param message - the message.
 	 */
 	receive(message: GossipMessage): void {
-		this.heardAt = this.clock.now();
-		this.noteSender(message.sender);
+		this.receivedAt = this.clock.now();
+		this.recordSender(message.sender);
 		switch (message.type) {
 			case GossipType.Ping: {
 				this.receivePing(message);
@@ -342,15 +342,16 @@
 		}
 	}
 
-	// Who must get no new work is told at once; the budget bounds what the loss of a zone costs.
-	private pushUrgent(): void {
-		if (this.urgentPushesLeft > 0 && this.urgentBudget.trySpend(1)) {
-			this.urgentPushesLeft -= 1;
+	// Peers must stop routing to suspected or draining members at once. The budget bounds the traffic
+	// that the loss of a zone causes.
+	private broadcastUrgentUpdates(): void {
+		if (this.urgentBroadcastsLeft > 0 && this.urgentBudget.trySpend(1)) {
+			this.urgentBroadcastsLeft -= 1;
 			this.broadcastUpdates(urgentFanOut);
 		}
 	}
 
-	private replaceSelf(member: Member): void {
+	private replaceLocalMember(member: Member): void {
 		this.self = member;
 		this.directory.merge(member);
 		this.enqueueFull(member);
@@ -379,12 +380,12 @@
 		}
 	}
 
-	private ping(target: string, isCounted: boolean): number {
-		if (isCounted) {
+	private ping(target: string, isTracked: boolean): number {
+		if (isTracked) {
 			this.sequence += 1;
 		}
 
-		const sequence = isCounted ? this.sequence : 0;
+		const sequence = isTracked ? this.sequence : 0;
 		this.host.send(target, {
 			type: GossipType.Ping,
 			sender: this.sender(),
@@ -394,20 +395,20 @@
 		return sequence;
 	}
 
-	// A suspect hears first of all that it is suspected, so that it can object.
+	// A suspected receiver gets the suspicion first, so that it can refute it.
 	private piggyback(receiver: string): Piggyback {
 		const brief: BriefUpdate[] = [];
 		const full: Member[] = [];
 		const rumors: Rumor[] = [];
 		const known = this.directory.get(receiver);
 		if (known && known.liveness !== Liveness.Alive) {
-			brief.push(briefOf(known));
-			// It may hold this node for dead as well, as after a cut.
+			brief.push(toBriefUpdate(known));
+			// The receiver may have declared this node dead as well, as after a network partition.
 			full.push(this.self);
 		}
 
-		const isFar = known !== undefined && known.region !== this.self.region;
-		const queue = isFar ? this.farQueue : this.nearQueue;
+		const isOtherRegion = known !== undefined && known.region !== this.self.region;
+		const queue = isOtherRegion ? this.otherRegionQueue : this.sameRegionQueue;
 		for (const update of queue.take(this.settings.piggybackBytes)) {
 			if (update.brief) {
 				brief.push(update.brief);
@@ -423,7 +424,7 @@
 
 	private receivePing(message: Ping): void {
 		const from = message.sender.id;
-		this.takePiggyback(message.piggyback, from);
+		this.mergePiggyback(message.piggyback, from);
 		this.host.send(from, {
 			type: GossipType.Ack,
 			sender: this.sender(),
@@ -434,7 +435,7 @@
 	}
 
 	private receiveAck(message: Ack): void {
-		this.takePiggyback(message.piggyback, message.sender.id);
+		this.mergePiggyback(message.piggyback, message.sender.id);
 		const relay = this.relays.get(message.sequence);
 		if (relay && message.subject === message.sender.id) {
 			this.relays.delete(message.sequence);
@@ -458,7 +459,7 @@
 	}
 
 	private receiveDigest(message: Digest): void {
-		this.mergeAndSpread(message.senderMember);
+		this.mergeAndEnqueue(message.senderMember);
 		const differing = new Set<number>();
 		for (const [bucket, checksum] of this.directory.digest().entries()) {
 			if (message.checksums[bucket] !== checksum) {
@@ -467,7 +468,7 @@
 		}
 
 		if (differing.size > 0) {
-			this.noteDisagreement();
+			this.shortenDigestPeriod();
 		}
 
 		this.sendBuckets(message.sender.id, differing);
@@ -477,17 +478,17 @@
 		this.host.handleKnownRevisions(message.revisions, message.sender.id);
 		let isChanged = false;
 		for (const member of message.members) {
-			isChanged = this.mergeAndSpread(member) || isChanged;
+			isChanged = this.mergeAndEnqueue(member) || isChanged;
 		}
 
 		if (isChanged) {
-			this.noteDisagreement();
+			this.shortenDigestPeriod();
 		}
 	}
 
-	// Digests come quickly while members disagree and seldom while they agree.
+	// Digests are sent often while member records differ and rarely while they are equal.
 	// Source: RFC 6206, "The trickle algorithm".
-	private noteDisagreement(): void {
+	private shortenDigestPeriod(): void {
 		this.digestPeriod = this.settings.minDigestPeriod;
 		const soon = this.clock.now() + this.digestPeriod * (0.5 + this.random.next());
 		this.nextDigest = Math.min(this.nextDigest, soon);
@@ -501,11 +502,11 @@
 			}
 		}
 
-		// In random order, as the budget may end before the list does.
+		// In random order, because the budget may run out before all records are sent.
 		const shuffled = sample(members, members.length, this.random);
 		for (let i = 0; i < shuffled.length; i += entriesPerMessage) {
 			const chunk = shuffled.slice(i, i + entriesPerMessage);
-			if (!this.repairBudget.trySpend(chunk.length * fullSize)) {
+			if (!this.repairBudget.trySpend(chunk.length * fullUpdateBytes)) {
 				break;
 			}
 
@@ -526,14 +527,14 @@
 		});
 	}
 
-	private takePiggyback(piggyback: Piggyback, from: string): void {
+	private mergePiggyback(piggyback: Piggyback, from: string): void {
 		this.host.handleKnownRevisions(piggyback.revisions, from);
 		for (const member of piggyback.full) {
-			this.mergeAndSpread(member);
+			this.mergeAndEnqueue(member);
 		}
 
 		for (const update of piggyback.brief) {
-			this.takeBrief(update);
+			this.mergeBrief(update);
 		}
 
 		for (const rumor of piggyback.rumors) {
@@ -544,17 +545,17 @@
 		}
 	}
 
-	private takeBrief(update: BriefUpdate): void {
+	private mergeBrief(update: BriefUpdate): void {
 		const known = this.directory.byHash(update.hash);
 		if (known) {
 			const {version, phase, liveness} = update;
-			this.mergeAndSpread({...known, version, phase, liveness});
+			this.mergeAndEnqueue({...known, version, phase, liveness});
 		}
 	}
 
-	private mergeAndSpread(member: Member): boolean {
+	private mergeAndEnqueue(member: Member): boolean {
 		if (member.id === this.self.id) {
-			this.defend(member);
+			this.refute(member);
 			return false;
 		}
 
@@ -571,7 +572,7 @@
 			previous?.liveness === Liveness.Suspect ||
 			member.phase === MemberPhase.Draining;
 		if (isUrgent) {
-			this.urgentPushesLeft = urgentPushes;
+			this.urgentBroadcastsLeft = urgentBroadcastCount;
 		}
 
 		if (isSameContent) {
@@ -583,24 +584,25 @@
 		return true;
 	}
 
-	// Somebody says something of this node that is not so: a newer version overrides it.
-	private defend(member: Member): void {
+	// Refutes a wrong record of this node by announcing one that overrides it.
+	private refute(member: Member): void {
 		const {incarnation, version} = this.self;
 		if (member.incarnation > incarnation) {
-			this.replaceSelf({...this.self, incarnation: member.incarnation + 1});
+			this.replaceLocalMember({...this.self, incarnation: member.incarnation + 1});
 			return;
 		}
 
 		const isSameIncarnation = member.incarnation === incarnation;
 		const isWrong = member.liveness !== Liveness.Alive || member.phase !== this.self.phase;
 		if (isSameIncarnation && member.version >= version && isWrong) {
-			this.replaceSelf({...this.self, version: member.version + 1});
-			this.urgentPushesLeft = urgentPushes;
+			this.replaceLocalMember({...this.self, version: member.version + 1});
+			this.urgentBroadcastsLeft = urgentBroadcastCount;
 		}
 	}
 
-	// A message from a member is a sign of life; an unknown sender is asked for its account.
-	private noteSender(sender: Sender): void {
+	// Any message confirms an unconfirmed member. An unknown sender gets a digest, which it answers with
+	// its record.
+	private recordSender(sender: Sender): void {
 		const known = this.directory.get(sender.id);
 		if (known && isUnconfirmed(known)) {
 			this.directory.merge({
@@ -613,8 +615,8 @@
 
 		const isUnknown = !known || known.incarnation < sender.incarnation;
 		const now = this.clock.now();
-		if (isUnknown && sender.id !== this.self.id && now >= this.quietUntil) {
-			this.quietUntil = now + this.settings.probePeriod;
+		if (isUnknown && sender.id !== this.self.id && now >= this.nextIntroductionAt) {
+			this.nextIntroductionAt = now + this.settings.probePeriod;
 			this.host.send(sender.id, this.digest());
 		}
 	}
@@ -633,7 +635,7 @@
 			return;
 		}
 
-		// Spread over time, so that nodes started together don't send together.
+		// Jittered, so that nodes that start together don't send at the same time.
 		this.nextDigest = now + this.digestPeriod * (0.5 + this.random.next());
 		this.digestPeriod = Math.min(this.settings.maxDigestPeriod, this.digestPeriod * 2);
 		const target = this.targets.next();
@@ -642,13 +644,13 @@
 		}
 	}
 
-	// Two halves of a cut take each other for dead; this lets them find each other afterwards.
-	private reachOut(now: Millis): void {
-		if (now < this.nextReachOut) {
+	// After a network partition each side has declared the other dead; these probes reconnect them.
+	private probeDeadMember(now: Millis): void {
+		if (now < this.nextDeadMemberProbe) {
 			return;
 		}
 
-		this.nextReachOut = now + this.settings.deadMemberProbePeriod;
+		this.nextDeadMemberProbe = now + this.settings.deadMemberProbePeriod;
 		const dead: string[] = [];
 		for (const id of this.tombstones.keys()) {
 			if (this.directory.get(id)?.liveness === Liveness.Dead) {
@@ -703,7 +705,7 @@
 	private suspect(id: string): void {
 		const member = this.directory.get(id);
 		if (member?.liveness === Liveness.Alive && isPresent(member)) {
-			this.mergeAndSpread({...member, liveness: Liveness.Suspect});
+			this.mergeAndEnqueue({...member, liveness: Liveness.Suspect});
 		}
 	}
 
@@ -722,7 +724,7 @@
 		}
 	}
 
-	// Each node lets its own timer run out, so that a death costs one message and not two.
+	// Each node uses its own suspicion timer, so that a failure needs one update (suspect) and not two.
 	private expireSuspicions(now: Millis): void {
 		for (const [id, until] of this.suspicions) {
 			const member = this.directory.get(id);
@@ -735,14 +737,15 @@
 	private expireTombstones(now: Millis): void {
 		for (const [id, until] of this.tombstones) {
 			if (now >= until) {
-				invariant(id !== this.self.id, 'a node never buries itself');
+				invariant(id !== this.self.id, 'the tombstone of the local member must not expire');
 				this.tombstones.delete(id);
 				this.directory.remove(id);
 			}
 		}
 	}
 
-	// What went unanswered during a pause says nothing about the others; they may suspect this node.
+	// Probes that expired during a pause say nothing about the peers, which may suspect this node: its
+	// new version refutes that.
 	private recoverFromPause(pause: Millis, now: Millis): void {
 		this.probes.clear();
 		this.relays.clear();
@@ -751,42 +754,43 @@
 		}
 
 		this.nextDigest = now;
-		this.replaceSelf({...this.self, version: this.self.version + 1});
+		this.replaceLocalMember({...this.self, version: this.self.version + 1});
 		this.host.handlePause(pause);
 	}
 
 	private enqueueBrief(member: Member, isUrgent: boolean): void {
 		const copies = isUrgent ? this.settings.urgentCopies : undefined;
-		this.enqueue({topic: member.id, size: briefSize, copies, brief: briefOf(member)});
+		this.enqueue({topic: member.id, size: briefUpdateBytes, copies, brief: toBriefUpdate(member)});
 	}
 
 	private enqueueFull(member: Member): void {
-		this.enqueue({topic: member.id, size: fullSize, full: member});
+		this.enqueue({topic: member.id, size: fullUpdateBytes, full: member});
 	}
 
 	private enqueueRumor(rumor: Rumor): void {
-		this.enqueue({topic: `rumor ${rumor.id}`, size: rumorSize(rumor), rumor});
+		this.enqueue({topic: `rumor ${rumor.id}`, size: rumorBytes(rumor), rumor});
 	}
 
-	// Few probes leave the region: news for them waits apart, or it would be used up before one goes.
+	// Few messages go to other regions: they have their own queue, or messages within the region would
+	// use up the copies of an update first.
 	private enqueue(update: QueuedUpdate): void {
-		this.nearQueue.push(update);
+		this.sameRegionQueue.push(update);
 		if (this.directory.hasSeenOtherRegion(this.self.region)) {
-			this.farQueue.push(update);
+			this.otherRegionQueue.push(update);
 		}
 	}
 }
 
-function briefOf(member: Member): BriefUpdate {
+function toBriefUpdate(member: Member): BriefUpdate {
 	const {version, phase, liveness} = member;
 	return {hash: memberHash(member), version, phase, liveness};
 }
 
 /**
  * @param id - address and link port.
- * @param incarnation - number of this start.
- * @param place - where the node stands.
- * @returns the account of a node that has just started.
+ * @param incarnation - incarnation of this start of the process.
+ * @param place - region and zone of the node.
+ * @returns the record of a node that has just started.
  */
 export function createLocalMember(
 	id: string,
--- a/src/membership/member.ts
+++ b/src/membership/member.ts
@@ -1,44 +1,44 @@
-/** What a member says about itself. The order is the precedence within one version. */
+/** Phase that a member announces for itself. A higher value takes precedence within one version. */
 export enum MemberPhase {
-	/** The node has no backend server that could work. */
+	/** The node has no backend server that can take calls. */
 	Joining = 0,
-	/** The backend server takes work. */
+	/** The backend server takes calls. */
 	Serving = 1,
-	/** The backend server finishes its work and takes no more. */
+	/** The backend server finishes its running calls and takes no new ones. */
 	Draining = 2,
 	/** The node has stopped. */
 	Left = 3,
 }
 
-/** What others found out about a member. The order is the precedence within one version. */
+/** Result of failure detection by other members. A higher value takes precedence within one version. */
 export enum Liveness {
 	Alive = 0,
 	Suspect = 1,
 	Dead = 2,
 }
 
-/** One node and its backend server, as the others know it. */
+/** Replicated record of one node and its backend server. */
 export interface Member {
-	/** Address and link port under which peers reach the node. */
+	/** Address and link port at which peers reach the node. */
 	readonly id: string;
-	/** Grows with each start of the process at this address. */
+	/** Increases with each start of the process at this address. */
 	readonly incarnation: number;
-	/** Grows with each change that the member itself declares. */
+	/** Increases with each change that the member itself announces. */
 	readonly version: number;
 	readonly phase: MemberPhase;
 	readonly liveness: Liveness;
 	readonly region: string;
 	readonly zone: string;
-	/** Service of the backend server; empty while none has announced itself. */
+	/** Service of the backend server; empty until a backend server has announced itself. */
 	readonly service: string;
-	/** Calls that the backend server can run at once. */
+	/** Calls that the backend server can run concurrently. */
 	readonly slots: number;
 }
 
 /**
- * @param a - one account of a member.
- * @param b - another account of the same member.
- * @returns above 0 when `a` overrides `b`, below 0 when `b` overrides `a`, 0 when they agree.
+ * @param a - a record of a member.
+ * @param b - another record of the same member.
+ * @returns above 0 when `a` overrides `b`, below 0 when `b` overrides `a`, 0 when they are equal.
  */
 export function compareMemberRecords(
 	a: Pick<Member, 'incarnation' | 'version' | 'phase' | 'liveness'>,
@@ -52,31 +52,31 @@
 	);
 }
 
-/** Incarnation of a member that is only known from the platform's store: every account overrides it. */
+/** Incarnation of a member that is known only from the platform's store; any gossiped record overrides it. */
 export const unconfirmedIncarnation = 0;
 
-/** Version of what is presumed of a member that lives: its own account overrides it. */
+/** Version of a member that answered but whose record has not arrived; its own record overrides it. */
 export const unconfirmedVersion = 0;
 
 /**
- * @param member - whom to judge.
- * @returns whether nobody has told of the member yet.
+ * @param member - a member record.
+ * @returns whether the member is known only from the store, with no message or record received yet.
  */
 export function isUnconfirmed(member: Pick<Member, 'incarnation'>): boolean {
 	return member.incarnation === unconfirmedIncarnation;
 }
 
 /**
- * @param member - whom to judge.
- * @returns whether the member can be given new work.
+ * @param member - a member record.
+ * @returns whether new calls can be routed to the member.
  */
 export function isRoutable(member: Member): boolean {
 	return member.phase === MemberPhase.Serving && member.liveness === Liveness.Alive;
 }
 
 /**
- * @param member - whom to judge.
- * @returns whether the member still runs as far as is known.
+ * @param member - a member record.
+ * @returns whether the member has neither left nor been declared dead.
  */
 export function isPresent(member: Member): boolean {
 	return member.phase !== MemberPhase.Left && member.liveness !== Liveness.Dead;
--- a/src/membership/probe-targets.ts
+++ b/src/membership/probe-targets.ts
@@ -4,8 +4,8 @@
 import type {GossipSettings} from './gossip-settings.js';
 import {isPresent, Liveness, type Member} from './member.js';
 
-/** Members of the ring that a node watches while those before them are suspected. */
-const mostWatched = 3;
+/** Maximum number of ring successors that a node monitors while the nearer ones are suspected. */
+const maxWatched = 3;
 
 /** How far a member is from this node. */
 export enum Distance {
@@ -15,9 +15,9 @@
 }
 
 /**
- * @param a - one place.
- * @param b - another place.
- * @returns how far the two are apart.
+ * @param a - a region and zone.
+ * @param b - another region and zone.
+ * @returns the distance between the two.
  */
 export function distanceBetween(
 	a: Pick<Member, 'region' | 'zone'>,
@@ -31,12 +31,12 @@
 }
 
 /**
- * Picks whom to probe. The members of a zone watch each other in a ring, so that one that dies is
- * found within a bounded time. Random probes carry news and look across zones; their targets are drawn
- * so that every member is probed once a round, and most of them stay in the zone.
+ * Selects the members to probe. The members of a zone monitor each other in a ring, so that a failure
+ * is detected within a bounded time. Random probes disseminate updates and reach other zones; their
+ * targets are drawn so that every member is probed once per round, and most stay in the zone.
  */
 export class ProbeTargets {
-	private readonly rings: string[][] = [[], [], []];
+	private readonly roundQueues: string[][] = [[], [], []];
 
 	constructor(
 		private readonly self: () => Member,
@@ -46,8 +46,8 @@
 	) {}
 
 	/**
-	 * @returns the members that this node watches: the next one in the ring and, while that is suspected,
-	 * those behind it, so that nobody goes unwatched.
+	 * @returns the members that this node monitors: its successor in the ring and, while that is suspected,
+	 * the ones after it, so that no member is left without a monitor.
 	 */
 	watched(): Member[] {
 		const own = this.self().id;
@@ -61,14 +61,14 @@
 		const rank = ({id}: Member) => (id > own ? 0 : 1);
 		zone.sort((a, b) => rank(a) - rank(b) || (a.id < b.id ? -1 : 1));
 		const end = zone.findIndex(({liveness}) => liveness === Liveness.Alive);
-		return zone.slice(0, Math.min(mostWatched, end === -1 ? zone.length : end + 1));
+		return zone.slice(0, Math.min(maxWatched, end === -1 ? zone.length : end + 1));
 	}
 
-	/** @returns the next member of the random probes; undefined when there is none. */
+	/** @returns the next target of a random probe; undefined when there is none. */
 	next(): Member | undefined {
 		const wanted = this.drawDistance();
 		for (const distance of [wanted, Distance.SameZone, Distance.SameRegion, Distance.OtherRegion]) {
-			const target = this.nextOf(distance);
+			const target = this.nextAtDistance(distance);
 			if (target) {
 				return target;
 			}
@@ -78,20 +78,20 @@
 	}
 
 	/**
-	 * @param count - how many are wanted.
-	 * @param except - a member that must not be among them.
-	 * @returns members that could probe in this node's place, from its region where possible.
+	 * @param count - maximum number of members.
+	 * @param excluded - a member to leave out.
+	 * @returns random present members of this node's region, without this node.
 	 */
-	samplePeers(count: number, except: Member): Member[] {
-		const near: Member[] = [];
+	samplePeers(count: number, excluded: Member): Member[] {
+		const candidates: Member[] = [];
 		for (const member of this.directory.all()) {
-			const isCandidate = member.id !== except.id && member.id !== this.self().id;
+			const isCandidate = member.id !== excluded.id && member.id !== this.self().id;
 			if (isCandidate && isPresent(member) && member.region === this.self().region) {
-				near.push(member);
+				candidates.push(member);
 			}
 		}
 
-		return sample(near, count, this.random);
+		return sample(candidates, count, this.random);
 	}
 
 	private isInOwnZone(member: Member): boolean {
@@ -111,7 +111,7 @@
 		return draw < otherRegionShare + otherZoneShare ? Distance.SameRegion : Distance.SameZone;
 	}
 
-	// The link between regions is paid by volume: its cost must not grow with the members.
+	// Traffic between regions is charged by volume, so its rate must not grow with the number of members.
 	private otherRegionShare(): number {
 		const {
 			otherRegionRate,
@@ -126,8 +126,8 @@
 		return Math.min(maxOtherRegionShare, Math.max(minOtherRegionShare, share));
 	}
 
-	private nextOf(distance: Distance): Member | undefined {
-		const ring = this.rings[distance]!;
+	private nextAtDistance(distance: Distance): Member | undefined {
+		const ring = this.roundQueues[distance]!;
 		if (ring.length === 0) {
 			this.refill(distance);
 		}
@@ -151,6 +151,6 @@
 			}
 		}
 
-		this.rings[distance]!.push(...sample(ids, ids.length, this.random));
+		this.roundQueues[distance]!.push(...sample(ids, ids.length, this.random));
 	}
 }
--- a/src/membership/rumor-memory.ts
+++ b/src/membership/rumor-memory.ts
@@ -1,21 +1,21 @@
 import {LRUCache} from 'lru-cache';
 
-const rememberedRumors = 10_000;
+const maxRumors = 10_000;
 
-/** Remembers which rumors were heard, so that each is passed on once. */
+/** Ids of the most recently received rumors, so that each rumor is forwarded only once. */
 export class SeenRumors {
-	private readonly heard = new LRUCache<string, true>({max: rememberedRumors});
+	private readonly ids = new LRUCache<string, true>({max: maxRumors});
 
 	/**
 	 * @param id - id of a rumor.
-	 * @returns whether it is heard for the first time.
+	 * @returns whether the id was new; it is remembered from now on.
 	 */
 	addIfNew(id: string): boolean {
-		if (this.heard.has(id)) {
+		if (this.ids.has(id)) {
 			return false;
 		}
 
-		this.heard.set(id, true);
+		this.ids.set(id, true);
 		return true;
 	}
 }
--- a/src/membership/update-queue.ts
+++ b/src/membership/update-queue.ts
@@ -1,87 +1,89 @@
 import type {BriefUpdate, Rumor} from './gossip-message.js';
 import type {Member} from './member.js';
 
-/** One item that waits to ride on probes. */
+/** An update that waits to be piggybacked. */
 export interface QueuedUpdate {
+	/** A newer update with the same topic replaces this one. */
 	readonly topic: string;
+	/** Estimated size on the wire, in bytes. */
 	readonly size: number;
-	/** How often it is sent; as often as the queue says where undefined. */
+	/** Number of times that it is sent; the queue's default when undefined. */
 	readonly copies?: number;
 	readonly brief?: BriefUpdate;
 	readonly full?: Member;
 	readonly rumor?: Rumor;
 }
 
-type Slot = {update: QueuedUpdate; sent: number};
+type Entry = {update: QueuedUpdate; sent: number};
 
 /**
- * News that waits to ride on probes. Each item is sent a fixed number of times; what some member
- * misses is repaired by digests, so that the cost of an item does not grow with the deployment.
+ * Updates that wait to be piggybacked. Each is sent a fixed number of times, so that its cost does not
+ * grow with the deployment; digests repair what a member has missed.
  */
 export class UpdateQueue {
-	private readonly slots = new Map<string, Slot>();
-	private mostCopies: number;
+	private readonly entries = new Map<string, Entry>();
+	private maxCopies: number;
 
 	constructor(
-		/** How often each item is sent. */
+		/** Default number of times that an update is sent. */
 		private readonly copies: number,
-		/** Items kept at the most; the oldest goes first, as digests repair the loss. */
+		/** Maximum number of updates; the oldest is dropped first, as digests repair the loss. */
 		private readonly capacity: number,
 	) {
-		this.mostCopies = copies;
+		this.maxCopies = copies;
 	}
 
 	get size(): number {
-		return this.slots.size;
+		return this.entries.size;
 	}
 
 	/**
-	 * Adds an item in place of an older one on the same topic.
-	 * @param update - the item.
+	 * Adds an update, replacing an older one with the same topic.
+	 * @param update - the update.
 	 */
 	push(update: QueuedUpdate): void {
-		this.mostCopies = Math.max(this.mostCopies, update.copies ?? 0);
-		this.slots.delete(update.topic);
-		this.slots.set(update.topic, {update, sent: 0});
-		if (this.slots.size > this.capacity) {
-			this.slots.delete(this.slots.keys().next().value!);
+		this.maxCopies = Math.max(this.maxCopies, update.copies ?? 0);
+		this.entries.delete(update.topic);
+		this.entries.set(update.topic, {update, sent: 0});
+		if (this.entries.size > this.capacity) {
+			this.entries.delete(this.entries.keys().next().value!);
 		}
 	}
 
 	/**
-	 * Takes what fits on one message, the least often sent first.
-	 * @param room - bytes that may be used.
-	 * @returns the items.
+	 * Takes updates for one message, the least often sent first.
+	 * @param maxBytes - maximum total size, in bytes.
+	 * @returns the updates.
 	 */
-	take(room: number): QueuedUpdate[] {
+	take(maxBytes: number): QueuedUpdate[] {
 		const taken: QueuedUpdate[] = [];
-		if (this.slots.size === 0) {
+		if (this.entries.size === 0) {
 			return taken;
 		}
 
-		let left = room;
-		for (let round = 0; round < this.mostCopies && left > 0; round++) {
-			left = this.takeRound(round, left, taken);
+		let bytesLeft = maxBytes;
+		for (let round = 0; round < this.maxCopies && bytesLeft > 0; round++) {
+			bytesLeft = this.takeRound(round, bytesLeft, taken);
 		}
 
 		return taken;
 	}
 
-	private takeRound(round: number, room: number, taken: QueuedUpdate[]): number {
-		let left = room;
-		for (const [topic, slot] of this.slots) {
-			if (slot.sent !== round || slot.update.size > left || taken.includes(slot.update)) {
+	private takeRound(round: number, maxBytes: number, taken: QueuedUpdate[]): number {
+		let bytesLeft = maxBytes;
+		for (const [topic, entry] of this.entries) {
+			if (entry.sent !== round || entry.update.size > bytesLeft || taken.includes(entry.update)) {
 				continue;
 			}
 
-			taken.push(slot.update);
-			left -= slot.update.size;
-			slot.sent += 1;
-			if (slot.sent >= (slot.update.copies ?? this.copies)) {
-				this.slots.delete(topic);
+			taken.push(entry.update);
+			bytesLeft -= entry.update.size;
+			entry.sent += 1;
+			if (entry.sent >= (entry.update.copies ?? this.copies)) {
+				this.entries.delete(topic);
 			}
 		}
 
-		return left;
+		return bytesLeft;
 	}
 }
