--- a/src/declaration/__tests__/unit/render.test.ts
+++ b/src/declaration/__tests__/unit/render.test.ts
@@ -22,7 +22,7 @@
 }
 
 describe('renderDeclaration', () => {
-	it('fills the parameters of a customer into a template', () => {
+	it('substitutes the parameters of a customer into a template', () => {
 		const declaration = renderDeclaration(
 			files(
 				'[customer]\nname = kuressaare\n[service depot-catalogue]\ntemplate = lookup\nshare = 3\n',
@@ -37,7 +37,7 @@
 		expect(isIdempotent(policy!, 'POST', '/x')).toBe(false);
 	});
 
-	it('reports all findings together, each with its place', () => {
+	it('reports all findings together, each with file and line', () => {
 		const render = () =>
 			renderDeclaration(
 				files(
--- a/src/declaration/__tests__/unit/revision-keeper.test.ts
+++ b/src/declaration/__tests__/unit/revision-keeper.test.ts
@@ -7,46 +7,46 @@
 );
 const hashes = contents.map((content) => hashContent(content));
 
-describe('RevisionKeeper', () => {
-	it('switches only to a revision that is accepted and held', () => {
-		const keeper = new RevisionTracker();
-		keeper.merge({accepted: 0, acceptedHash: '', staged: 1, stagedHash: hashes[1]!});
-		keeper.addContent(hashes[1]!, contents[1]!);
-		expect(keeper.inForce).toBeUndefined();
-		expect(keeper.heldRevision).toBe(1);
-		keeper.merge({accepted: 1, acceptedHash: hashes[1]!, staged: 0, stagedHash: ''});
-		expect(keeper.inForce?.revision).toBe(1);
+describe('RevisionTracker', () => {
+	it('brings a revision into force only when it is accepted and its content is held', () => {
+		const tracker = new RevisionTracker();
+		tracker.merge({accepted: 0, acceptedHash: '', staged: 1, stagedHash: hashes[1]!});
+		tracker.addContent(hashes[1]!, contents[1]!);
+		expect(tracker.inForce).toBeUndefined();
+		expect(tracker.heldRevision).toBe(1);
+		tracker.merge({accepted: 1, acceptedHash: hashes[1]!, staged: 0, stagedHash: ''});
+		expect(tracker.inForce?.revision).toBe(1);
 	});
 
-	it('refuses a content that is not what its hash names', () => {
-		const keeper = new RevisionTracker();
+	it('rejects content that does not match its hash', () => {
+		const tracker = new RevisionTracker();
 		expect(() => {
-			keeper.addContent(hashes[1]!, contents[2]!);
+			tracker.addContent(hashes[1]!, contents[2]!);
 		}).toThrow('does not match its hash');
 	});
 
-	it('never goes down, whatever it hears in whatever order', () => {
+	it('never lowers the revision in force, for any order of updates', () => {
 		const step = fc.oneof(
-			fc.record({kind: fc.constant('news'), accepted: fc.nat(7), staged: fc.nat(7)}),
+			fc.record({kind: fc.constant('revisions'), accepted: fc.nat(7), staged: fc.nat(7)}),
 			fc.record({kind: fc.constant('content'), accepted: fc.nat(7), staged: fc.constant(0)}),
 		);
 		fc.assert(
 			fc.property(fc.array(step, {maxLength: 40}), (steps) => {
-				const keeper = new RevisionTracker();
+				const tracker = new RevisionTracker();
 				let highest = 0;
 				for (const {kind, accepted, staged} of steps) {
-					if (kind === 'news') {
+					if (kind === 'revisions') {
 						const acceptedHash = hashes[accepted]!;
-						keeper.merge({accepted, acceptedHash, staged, stagedHash: hashes[staged]!});
+						tracker.merge({accepted, acceptedHash, staged, stagedHash: hashes[staged]!});
 					} else {
-						keeper.addContent(hashes[accepted]!, contents[accepted]!);
+						tracker.addContent(hashes[accepted]!, contents[accepted]!);
 					}
 
-					const revision = keeper.inForce?.revision ?? 0;
+					const revision = tracker.inForce?.revision ?? 0;
 					expect(revision).toBeGreaterThanOrEqual(highest);
-					expect(revision).toBeLessThanOrEqual(keeper.known.accepted);
+					expect(revision).toBeLessThanOrEqual(tracker.known.accepted);
 					if (revision > 0) {
-						expect(keeper.inForce?.declaration.deployment).toBe(`d${revision}`);
+						expect(tracker.inForce?.declaration.deployment).toBe(`d${revision}`);
 					}
 
 					highest = revision;
--- a/src/declaration/change-lifecycle.ts
+++ b/src/declaration/change-lifecycle.ts
@@ -2,19 +2,19 @@
 
 /** States of an operator's change. */
 export enum ChangeState {
-	/** It is checked and rendered. */
+	/** The change is validated and rendered. */
 	Rendered = 'rendered',
-	/** It is in the store, and zones fetch it. */
+	/** The change is in the store, and zones fetch it. */
 	Staged = 'staged',
-	/** Every zone holds it, and it is in force or about to be. */
+	/** Every zone holds the change; it is in force or about to be. */
 	Accepted = 'accepted',
-	/** It was taken back, by its operator or another. */
+	/** The change was withdrawn, by its operator or another. */
 	Withdrawn = 'withdrawn',
-	/** Somebody else changed the declaration first. */
+	/** Another operator changed the declaration first. */
 	Conflicting = 'conflicting',
 }
 
-/** What happens to an operator's change. */
+/** Events in the lifecycle of an operator's change. */
 export enum ChangeEvent {
 	StageWritten = 'stage-written',
 	StageConflict = 'stage-conflict',
--- a/src/declaration/declaration-index.ts
+++ b/src/declaration/declaration-index.ts
@@ -7,7 +7,7 @@
 } from './declaration.js';
 import {RouteTable} from './route-table.js';
 
-/** Looks up policies of one revision. A call keeps the index that it started with. */
+/** Looks up policies of one revision. A call uses the same index from start to end. */
 export class DeclarationIndex {
 	private readonly services = new Map<string, ServicePolicy>();
 	private readonly calls = new Map<string, Map<string, CallPolicy>>();
@@ -31,7 +31,7 @@
 
 	/**
 	 * @param service - name of a service.
-	 * @returns what holds for it; undefined when it is not declared.
+	 * @returns its policy; undefined when it is not declared.
 	 */
 	service(service: string): ServicePolicy | undefined {
 		return this.services.get(service);
@@ -40,7 +40,7 @@
 	/**
 	 * @param service - name of a service.
 	 * @param customer - name of a customer.
-	 * @returns what holds for the customer's calls; undefined when nothing is declared.
+	 * @returns the policy for the customer's calls; undefined when none is declared.
 	 */
 	call(service: string, customer: string): CallPolicy | undefined {
 		return this.calls.get(service)?.get(customer);
@@ -49,7 +49,7 @@
 	/**
 	 * @param host - host of a request, without its port.
 	 * @param path - path of the request.
-	 * @returns the route that takes it; undefined when there is none.
+	 * @returns the route that matches; undefined when there is none.
 	 */
 	route(host: string, path: string): RoutePolicy | undefined {
 		return this.routes.lookUp(host, path);
@@ -68,10 +68,10 @@
 }
 
 /**
- * @param policy - what holds for the call.
+ * @param policy - policy of the call.
  * @param method - method of the request.
  * @param path - path of the request.
- * @returns whether the request may run more than once.
+ * @returns whether the request may be executed more than once.
  */
 export function isIdempotent(policy: CallPolicy, method: string, path: string): boolean {
 	return (
--- a/src/declaration/declaration.ts
+++ b/src/declaration/declaration.ts
@@ -1,44 +1,44 @@
 import type {Millis} from '../clock/index.js';
 
-/** What holds for one service as a whole. */
+/** Settings of one service, shared by all customers. */
 export interface ServicePolicy {
 	readonly service: string;
 	readonly kind: string;
-	/** Calls that may wait at each backend server. */
+	/** Maximum number of calls queued at each backend server. */
 	readonly queue: number;
-	/** Time until a started backend server gets all its slots, in ms. */
+	/** Time after its start until a backend server is given all its slots, in ms. */
 	readonly warmUp: Millis;
-	/** Time that probes may take at a backend server, in ms for each second. */
+	/** Time that probes may take at a backend server, in ms per second. */
 	readonly probeBudget: number;
-	/** Whether calls may leave the region when their deadline demands it. */
+	/** Whether calls may be sent to another region when needed to meet their deadline. */
 	readonly isOtherRegionAllowed: boolean;
-	/** Path of the health endpoint, where the declaration names it. */
+	/** Path of the health endpoint, if declared. */
 	readonly healthPath?: string;
-	/** Connections that a backend server takes at the most, where the declaration names them. */
+	/** Maximum number of connections to a backend server, if declared. */
 	readonly connections?: number;
 }
 
-/** What holds for the calls of one customer to one service. */
+/** Settings for the calls of one customer to one service. */
 export interface CallPolicy {
 	readonly service: string;
 	readonly customer: string;
-	/** How long callers wait that don't say so, in ms. */
+	/** Deadline of calls whose caller sets none, in ms. */
 	readonly deadline: Millis;
-	/** Longest deadline that a caller may ask for, in ms. */
+	/** Longest deadline that a caller may request, in ms. */
 	readonly maxDeadline: Millis;
-	/** Methods of requests that may run more than once. */
+	/** Methods of requests that may be executed more than once. */
 	readonly idempotentMethods: readonly string[];
-	/** Path prefixes of requests that may run more than once, whatever their method. */
+	/** Path prefixes of requests that may be executed more than once, with any method. */
 	readonly idempotentPaths: readonly string[];
-	/** Attempts of one call at the most. */
+	/** Maximum number of attempts per call. */
 	readonly maxAttempts: number;
-	/** Retries as a share of calls. */
+	/** Retry budget as a fraction of calls. */
 	readonly retryShare: number;
-	/** Hedges as a share of calls. */
+	/** Hedge budget as a fraction of calls. */
 	readonly hedgeShare: number;
-	/** Weight when customers compete for slots. */
+	/** Weight of the customer when customers compete for slots. */
 	readonly share: number;
-	/** How long idempotency keys are remembered, in ms. */
+	/** Retention time of idempotency keys, in ms. */
 	readonly keyRetention: Millis;
 }
 
@@ -49,25 +49,25 @@
 	readonly weight: number;
 }
 
-/** What holds for requests to one host below one path. */
+/** Settings for requests to one host and path prefix. */
 export interface RoutePolicy {
 	readonly name: string;
 	readonly host: string;
-	/** Start of the paths; begins and ends with a slash. */
+	/** Path prefix; begins and ends with a slash. */
 	readonly prefix: string;
 	readonly isIdempotent: boolean;
-	/** How long a caller is kept waiting at the most, in ms. */
+	/** Time-out of a request as seen by the caller, in ms. */
 	readonly timeout: Millis;
-	/** How long an answer is in time, in ms. */
+	/** Latency objective, in ms. */
 	readonly objective: Millis;
-	/** Backend servers to which one request may be sent. */
+	/** Maximum number of backend servers to which one request is sent. */
 	readonly maxAttempts: number;
-	/** Rank among the requests of a service; 0 is the most urgent. */
+	/** Priority among the requests of a service; 0 is the highest. */
 	readonly priority: number;
 	readonly targets: readonly RouteTarget[];
 }
 
-/** What a caller may send, and how long it may stay idle. */
+/** Size limits and time-outs for the connections of callers. */
 export interface CallerLimits {
 	readonly maxHeaderBytes: number;
 	readonly maxBodyBytes: number;
@@ -75,22 +75,22 @@
 	readonly idleTimeout: Millis;
 }
 
-/** Bytes that may travel between two regions. */
+/** Bandwidth budget of the link between two regions. */
 export interface LinkBudget {
 	readonly regions: readonly [string, string];
-	/** For measuring and control, in each direction. */
+	/** Budget for probes and control traffic, in each direction. */
 	readonly controlBytesPerSecond: number;
-	/** For calls and their answers, in each direction. */
+	/** Budget for calls and their answers, in each direction. */
 	readonly callBytesPerSecond: number;
 }
 
-/** Everything that operators declare, checked and rendered. */
+/** Complete configuration as declared by operators, validated and rendered. */
 export interface Declaration {
 	readonly deployment: string;
 	readonly services: readonly ServicePolicy[];
 	readonly calls: readonly CallPolicy[];
 	readonly links: readonly LinkBudget[];
-	/** Routes by host and path; none where callers name the service. */
+	/** Routes by host and path; absent when callers name the service. */
 	readonly routes?: readonly RoutePolicy[];
 	readonly callerLimits?: CallerLimits;
 }
--- a/src/declaration/plan.ts
+++ b/src/declaration/plan.ts
@@ -1,6 +1,6 @@
 import type {CallPolicy, Declaration, LinkBudget, ServicePolicy} from './declaration.js';
 
-/** What a change does to one thing. */
+/** Effect of a change on one subject. */
 export enum ChangeKind {
 	Added = 'added',
 	Removed = 'removed',
@@ -10,7 +10,7 @@
 /** One difference between two declarations. */
 export interface PlannedChange {
 	readonly kind: ChangeKind;
-	/** What changes, as in `service yard-booking` or `yard-booking for kuressaare`. */
+	/** Policy or link that changes, as in `service yard-booking` or `yard-booking for kuressaare`. */
 	readonly subject: string;
 	/** Key that changes; empty when the whole subject is added or removed. */
 	readonly key: string;
@@ -18,10 +18,10 @@
 	readonly after: string;
 }
 
-type Named = {readonly subject: string; readonly values: ReadonlyMap<string, unknown>};
+type Subject = {readonly subject: string; readonly values: ReadonlyMap<string, unknown>};
 
-function subjects(declaration: Declaration): Map<string, Named> {
-	const named = new Map<string, Named>();
+function collectSubjects(declaration: Declaration): Map<string, Subject> {
+	const named = new Map<string, Subject>();
 	const add = (subject: string, values: CallPolicy | ServicePolicy | LinkBudget) => {
 		named.set(subject, {subject, values: new Map(Object.entries(values))});
 	};
@@ -41,14 +41,14 @@
 	return named;
 }
 
-function textOf(value: unknown): string {
+function formatValue(value: unknown): string {
 	return Array.isArray(value) ? value.join(', ') : String(value);
 }
 
-function differences(before: Named, after: Named): PlannedChange[] {
+function diffSubject(before: Subject, after: Subject): PlannedChange[] {
 	const changes: PlannedChange[] = [];
 	for (const [key, value] of after.values) {
-		const [from, to] = [textOf(before.values.get(key)), textOf(value)];
+		const [from, to] = [formatValue(before.values.get(key)), formatValue(value)];
 		if (from !== to) {
 			const {subject} = after;
 			changes.push({kind: ChangeKind.Changed, subject, key, before: from, after: to});
@@ -59,18 +59,18 @@
 }
 
 /**
- * @param before - what is accepted; undefined before the first change.
- * @param after - what is wanted.
- * @returns every difference, in order of their subjects.
+ * @param before - the accepted declaration; undefined before the first change.
+ * @param after - the new declaration.
+ * @returns all differences, sorted by subject.
  */
 export function planChanges(before: Declaration | undefined, after: Declaration): PlannedChange[] {
-	const old = before ? subjects(before) : new Map<string, Named>();
-	const wanted = subjects(after);
+	const old = before ? collectSubjects(before) : new Map<string, Subject>();
+	const wanted = collectSubjects(after);
 	const names = [...new Set([...old.keys(), ...wanted.keys()])].toSorted();
 	return names.flatMap((subject) => {
 		const [was, is] = [old.get(subject), wanted.get(subject)];
 		if (was && is) {
-			return differences(was, is);
+			return diffSubject(was, is);
 		}
 
 		const kind = is ? ChangeKind.Added : ChangeKind.Removed;
@@ -80,7 +80,7 @@
 
 /**
  * @param change - one difference.
- * @returns a line for people.
+ * @returns a human-readable line.
  */
 export function formatChange(change: PlannedChange): string {
 	const {kind, subject, key, before, after} = change;
--- a/src/declaration/render.ts
+++ b/src/declaration/render.ts
@@ -10,7 +10,7 @@
 import type {CallPolicy, Declaration, LinkBudget, ServicePolicy} from './declaration.js';
 import {parseTemplate, renderTemplate, type SourceFile, type Template} from './template.js';
 
-/** The files that operators keep in version control. */
+/** Source files of a declaration, which operators keep in version control. */
 export interface DeclarationFiles {
 	readonly deployment: SourceFile;
 	readonly templates: readonly SourceFile[];
@@ -22,7 +22,7 @@
 const namePattern = /^[a-z0-9](?:[a-z0-9\-]{0,61}[a-z0-9])?$/v;
 const maxBytesPerSecond = 10_000_000_000;
 
-/** Renders files into a declaration, collecting every finding. */
+/** Renders source files into a declaration and collects all findings. */
 class Renderer {
 	readonly findings: Finding[] = [];
 	private readonly templates = new Map<string, Template>();
@@ -32,7 +32,11 @@
 	addTemplate(source: SourceFile): void {
 		const template = parseTemplate(source, this.findings);
 		if (this.templates.has(template.kind)) {
-			this.report(template.document, 'template', `kind "${template.kind}" stands in two templates`);
+			this.report(
+				template.document,
+				'template',
+				`kind "${template.kind}" is declared by two templates`,
+			);
 		}
 
 		this.templates.set(template.kind, template);
@@ -94,7 +98,7 @@
 		this.addService(document, section.name, rendered.service);
 		const id = `${service} ${customer}`;
 		if (this.calls.has(id)) {
-			this.report(document, section.name, `customer "${customer}" has this service already`);
+			this.report(document, section.name, `customer "${customer}" already has this service`);
 		}
 
 		this.calls.set(id, rendered.call);
@@ -103,7 +107,7 @@
 	private addService(document: IniDocument, section: string, policy: ServicePolicy): void {
 		const known = this.services.get(policy.service);
 		if (known && JSON.stringify(known) !== JSON.stringify(policy)) {
-			const problem = `customers disagree on service "${policy.service}" as a whole`;
+			const problem = `customers render different service-wide settings for service "${policy.service}"`;
 			this.report(document, section, problem, 'template');
 		}
 
@@ -139,10 +143,10 @@
 }
 
 /**
- * Renders and checks all files as a whole.
- * @param files - what operators declare.
+ * Renders and validates all files together.
+ * @param files - source files of the declaration.
  * @returns the declaration.
- * @throws FindingsError with every finding.
+ * @throws FindingsError with all findings.
  */
 export function renderDeclaration(files: DeclarationFiles): Declaration {
 	const renderer = new Renderer();
--- a/src/declaration/revision-keeper.ts
+++ b/src/declaration/revision-keeper.ts
@@ -3,35 +3,35 @@
 import type {Declaration} from './declaration.js';
 import {DeclarationIndex} from './declaration-index.js';
 
-/** The newest revisions that somebody knows of. */
+/** The newest revisions that a node or the store knows. */
 export interface KnownRevisions {
-	/** Revision that is accepted; 0 for none. */
+	/** Number of the accepted revision; 0 for none. */
 	readonly accepted: number;
 	/** Hash of the accepted revision's content. */
 	readonly acceptedHash: string;
-	/** Revision that is staged; 0 for none. */
+	/** Number of the staged revision; 0 for none. */
 	readonly staged: number;
 	/** Hash of the staged revision's content. */
 	readonly stagedHash: string;
 }
 
-/** Content that is no declaration. */
+/** Content is not a declaration, or does not match its hash. */
 export class DeclarationContentError extends Error {
 	override name = 'DeclarationContentError';
 }
 
-const noNews: KnownRevisions = {accepted: 0, acceptedHash: '', staged: 0, stagedHash: ''};
+const noRevisions: KnownRevisions = {accepted: 0, acceptedHash: '', staged: 0, stagedHash: ''};
 
 /**
  * @param content - content of a revision.
- * @returns the hash by which it is named.
+ * @returns the hash that identifies it.
  */
 export function hashContent(content: string): string {
 	return hashBytes(new TextEncoder().encode(content));
 }
 
 /**
- * @param declaration - what operators declare.
+ * @param declaration - a rendered declaration.
  * @returns the content of a revision.
  */
 export function serializeDeclaration(declaration: Declaration): string {
@@ -41,25 +41,27 @@
 /**
  * @param content - content of a revision.
  * @returns the declaration.
- * @throws {@link DeclarationContentError}
+ * @throws {@link DeclarationContentError} when the content is not a declaration.
  */
 export function parseContent(content: string): Declaration {
 	const parsed: unknown = JSON.parse(content);
 	const isDeclaration =
 		typeof parsed === 'object' && parsed !== null && 'services' in parsed && 'calls' in parsed;
 	if (!isDeclaration) {
-		throw new DeclarationContentError('the content is no declaration');
+		throw new DeclarationContentError(
+			'content is not a declaration: "services" or "calls" is missing',
+		);
 	}
 
 	return parsed as Declaration; // eslint-disable-line @typescript-eslint/no-unsafe-type-assertion
 }
 
 /**
- * What a node knows of configuration revisions. Revisions only go up: neither an old peer nor a
- * store that was set back can bring a lower one into force.
+ * Tracks the configuration revisions that a node knows. Revision numbers only increase: neither a stale
+ * peer nor a store that was restored to an earlier state can bring a lower revision into force.
  */
 export class RevisionTracker {
-	private news = noNews;
+	private newest = noRevisions;
 	private readonly contents = new Map<string, Declaration>();
 	private readonly texts = new Map<string, string>();
 	private readonly listeners = new Set<(index: DeclarationIndex) => void>();
@@ -70,43 +72,43 @@
 		return this.index;
 	}
 
-	/** The newest revisions that this node has heard of. */
+	/** The newest revisions that this node knows. */
 	get known(): KnownRevisions {
-		return this.news;
+		return this.newest;
 	}
 
 	/** The highest revision whose content this node holds. */
 	get heldRevision(): number {
-		const {accepted, acceptedHash, staged, stagedHash} = this.news;
+		const {accepted, acceptedHash, staged, stagedHash} = this.newest;
 		const heldAccepted = this.contents.has(acceptedHash) ? accepted : 0;
 		return this.contents.has(stagedHash) ? Math.max(staged, heldAccepted) : heldAccepted;
 	}
 
 	/**
-	 * Takes in what somebody knows.
-	 * @param news - its newest revisions.
-	 * @returns whether something of it was new.
+	 * Merges the revisions that a peer or the store knows.
+	 * @param revisions - the newest revisions of the peer or the store.
+	 * @returns whether one of them was newer than known here.
 	 */
-	merge(news: KnownRevisions): boolean {
-		const isAcceptedNew = news.accepted > this.news.accepted;
-		const isStagedNew = news.staged > this.news.staged;
+	merge(revisions: KnownRevisions): boolean {
+		const isAcceptedNew = revisions.accepted > this.newest.accepted;
+		const isStagedNew = revisions.staged > this.newest.staged;
 		if (!isAcceptedNew && !isStagedNew) {
 			return false;
 		}
 
-		this.news = {
-			accepted: isAcceptedNew ? news.accepted : this.news.accepted,
-			acceptedHash: isAcceptedNew ? news.acceptedHash : this.news.acceptedHash,
-			staged: isStagedNew ? news.staged : this.news.staged,
-			stagedHash: isStagedNew ? news.stagedHash : this.news.stagedHash,
+		this.newest = {
+			accepted: isAcceptedNew ? revisions.accepted : this.newest.accepted,
+			acceptedHash: isAcceptedNew ? revisions.acceptedHash : this.newest.acceptedHash,
+			staged: isStagedNew ? revisions.staged : this.newest.staged,
+			stagedHash: isStagedNew ? revisions.stagedHash : this.newest.stagedHash,
 		};
-		this.switchIfHeld();
+		this.activateAccepted();
 		return true;
 	}
 
-	/** @returns hashes of contents that this node needs and does not hold. */
+	/** @returns hashes of the contents that this node still has to fetch. */
 	missing(): string[] {
-		const {accepted, acceptedHash, staged, stagedHash} = this.news;
+		const {accepted, acceptedHash, staged, stagedHash} = this.newest;
 		const wanted: string[] = [];
 		if (accepted > 0 && !this.contents.has(acceptedHash)) {
 			wanted.push(acceptedHash);
@@ -121,27 +123,27 @@
 
 	/**
 	 * @param hash - hash of a content.
-	 * @returns the content, if it is held.
+	 * @returns the content; undefined when this node does not hold it.
 	 */
 	contentOf(hash: string): string | undefined {
 		return this.texts.get(hash);
 	}
 
 	/**
-	 * Takes in the content of a revision.
-	 * @param hash - the hash by which it was asked for.
+	 * Stores the content of a revision, and brings the revision into force when it is accepted.
+	 * @param hash - the hash by which it was requested.
 	 * @param content - the content.
-	 * @throws {@link DeclarationContentError} when it is not what the hash names.
+	 * @throws {@link DeclarationContentError} when the content does not match the hash or is not a declaration.
 	 */
 	addContent(hash: string, content: string): void {
 		if (hashContent(content) !== hash) {
-			throw new DeclarationContentError('the content does not match its hash');
+			throw new DeclarationContentError('content does not match its hash');
 		}
 
 		this.contents.set(hash, parseContent(content));
 		this.texts.set(hash, content);
-		this.switchIfHeld();
-		this.dropOld();
+		this.activateAccepted();
+		this.removeUnreferenced();
 	}
 
 	/**
@@ -155,9 +157,9 @@
 		};
 	}
 
-	private switchIfHeld(): void {
-		const declaration = this.contents.get(this.news.acceptedHash);
-		const {accepted} = this.news;
+	private activateAccepted(): void {
+		const declaration = this.contents.get(this.newest.acceptedHash);
+		const {accepted} = this.newest;
 		if (!declaration || accepted <= (this.index?.revision ?? 0)) {
 			return;
 		}
@@ -168,8 +170,8 @@
 		}
 	}
 
-	private dropOld(): void {
-		const {acceptedHash, stagedHash} = this.news;
+	private removeUnreferenced(): void {
+		const {acceptedHash, stagedHash} = this.newest;
 		for (const hash of this.contents.keys()) {
 			if (hash !== acceptedHash && hash !== stagedHash) {
 				this.contents.delete(hash);
--- a/src/declaration/route-table.ts
+++ b/src/declaration/route-table.ts
@@ -1,8 +1,8 @@
 import type {RoutePolicy} from './declaration.js';
 
 /**
- * Finds the route of a request by host and longest prefix. A lookup takes one step for each slash of
- * the path, however many routes there are.
+ * Finds the route of a request by host and longest path prefix. The cost of a lookup is proportional to
+ * the number of slashes in the path and does not depend on the number of routes.
  */
 export class RouteTable {
 	private readonly hosts = new Map<string, Map<string, RoutePolicy>>();
@@ -17,7 +17,7 @@
 
 	/**
 	 * @param host - host of a request, without its port.
-	 * @param path - path of the request; a query does not count.
+	 * @param path - path of the request; a query string is ignored.
 	 * @returns the route with the longest prefix; undefined when there is none.
 	 */
 	lookUp(host: string, path: string): RoutePolicy | undefined {
--- a/src/declaration/template.ts
+++ b/src/declaration/template.ts
@@ -10,7 +10,7 @@
 } from '../ini/index.js';
 import type {CallPolicy, ServicePolicy} from './declaration.js';
 
-/** A file as it was read. */
+/** Name and content of a source file. */
 export interface SourceFile {
 	readonly name: string;
 	readonly text: string;
@@ -20,18 +20,18 @@
 export interface Template {
 	readonly kind: string;
 	readonly document: IniDocument;
-	/** Values taken where a customer gives none; undefined where each customer must give one. */
+	/** Default values by parameter; undefined where each customer must set a value. */
 	readonly parameters: ReadonlyMap<string, string | undefined>;
 }
 
-const placeholder = /\{([\w\-]+)\}/gv;
+const placeholderPattern = /\{([\w\-]+)\}/gv;
 const sections = new Set(['template', 'parameters', 'service', 'call']);
-const maxSlots = 10_000;
+const maxQueueLength = 10_000;
 
 /**
  * @param source - a template file.
- * @param findings - receives what is wrong.
- * @returns the template; its values are checked when it is rendered.
+ * @param findings - receives the errors found.
+ * @returns the template; its values are validated when it is rendered.
  */
 export function parseTemplate(source: SourceFile, findings: Finding[]): Template {
 	const document = parseIni(source.name, source.text, findings);
@@ -47,13 +47,13 @@
 	return {kind, document, parameters};
 }
 
-/** A template with the parameters of one customer. */
+/** Policies rendered from a template for one customer. */
 export interface RenderedTemplate {
 	readonly service: ServicePolicy;
 	readonly call: CallPolicy;
 }
 
-/** Who a template is rendered for. */
+/** Customer and service for which a template is rendered. */
 export interface RenderTarget {
 	readonly service: string;
 	readonly customer: string;
@@ -62,10 +62,10 @@
 }
 
 /**
- * Fills in the parameters of one customer and checks the result.
+ * Substitutes the parameters of one customer and validates the result.
  * @param template - the template.
- * @param target - who it is rendered for.
- * @param findings - receives what is wrong.
+ * @param target - the customer and service.
+ * @param findings - receives the errors found.
  * @returns the policies.
  */
 export function renderTemplate(
@@ -97,11 +97,11 @@
 					key,
 					line: entry.line,
 					problem: `${problem} "${parameter}" (service ${target.service}, customer ${target.customer})`,
-					hint: 'list it in [parameters], with a value or for each customer to give',
+					hint: 'list it in [parameters] with a default, or leave it empty there and set it for each customer',
 				});
 			};
 
-			const value = entry.value.replaceAll(placeholder, (_match, parameter: string) => {
+			const value = entry.value.replaceAll(placeholderPattern, (_match, parameter: string) => {
 				if (!template.parameters.has(parameter)) {
 					report(parameter, 'uses the unknown parameter');
 				}
@@ -127,7 +127,7 @@
 	return {
 		service,
 		kind,
-		queue: reader.integer('queue', {min: 0, max: maxSlots, fallback: 40}),
+		queue: reader.integer('queue', {min: 0, max: maxQueueLength, fallback: 40}),
 		warmUp: reader.duration('warm-up', {min: 0, max: 10 * minute, fallback: 5 * second}),
 		probeBudget: reader.number('probe-budget', {min: 0, max: 1000, fallback: 6}),
 		isOtherRegionAllowed: otherRegion === 'allowed',
