--- a/src/datagram/gossip-socket.ts
+++ b/src/datagram/gossip-socket.ts
@@ -11,26 +11,29 @@
 	BadMessage = 'bad-message',
 }
 
-/** What a socket needs from its owner. */
+/** Secret and callbacks that the owner of a {@link GossipSocket} provides. */
 export interface GossipSocketOwner {
 	readonly secret: string;
 	onMessage(message: GossipMessage): void;
 	onReject(reason: DatagramReject): void;
 	/**
 	 * @param to - id of the receiver.
-	 * @param bytes - bytes on the wire, headers of IP and UDP included.
+	 * @param bytes - size on the wire in bytes, including the IP and UDP headers.
 	 */
 	onSent(to: string, bytes: number): void;
 }
 
-const sealBytes = 8;
+const tagBytes = 8;
 const ipv4Family = 4;
-/** Bytes of the headers of IPv4 and UDP. */
-const packetOverhead = 28;
+/** Size of the IPv4 and UDP headers. */
+const headerBytes = 28;
 
-/** Sends and receives gossip over UDP; each datagram is sealed with the shared secret. */
+/**
+ * Sends and receives gossip messages over UDP. Each datagram starts with a truncated HMAC-SHA-256 over
+ * its body, keyed with the shared secret.
+ */
 export class GossipSocket {
-	// Receivers are named by IP number, so that there is nothing to look up.
+	// Receivers are given as IP addresses, so no DNS lookup is needed.
 	private readonly socket: Socket = createSocket({
 		type: 'udp4',
 		lookup(address, _options, done) {
@@ -46,12 +49,12 @@
 			this.receive(datagram);
 		});
 		this.socket.on('error', () => {
-			// A receiver that is gone is found out by its silence.
+			// Send errors are ignored: failure detection notices an unreachable receiver by missing acks.
 		});
 	}
 
 	/**
-	 * @param address - IP number.
+	 * @param address - IP address.
 	 * @param port - UDP port.
 	 */
 	async bind(address: string, port: number): Promise<void> {
@@ -62,7 +65,7 @@
 
 	/**
 	 * @param to - id of the receiver, which is its address.
-	 * @param message - what to send.
+	 * @param message - the message.
 	 */
 	send(to: string, message: GossipMessage): void {
 		const endpoint = parseEndpoint(to);
@@ -71,10 +74,10 @@
 		}
 
 		const body = encodeGossip(message);
-		const seal = this.seal(body);
-		const length = seal.length + body.length;
-		this.socket.send([seal, body], endpoint.port, endpoint.address, () => undefined);
-		this.owner.onSent(to, length + packetOverhead);
+		const tag = this.computeTag(body);
+		const length = tag.length + body.length;
+		this.socket.send([tag, body], endpoint.port, endpoint.address, () => undefined);
+		this.owner.onSent(to, length + headerBytes);
 	}
 
 	/** Closes the socket. */
@@ -83,13 +86,13 @@
 	}
 
 	private receive(datagram: Uint8Array): void {
-		if (datagram.length <= sealBytes) {
+		if (datagram.length <= tagBytes) {
 			this.owner.onReject(DatagramReject.TooShort);
 			return;
 		}
 
-		const body = datagram.subarray(sealBytes);
-		if (!timingSafeEqual(this.seal(body), datagram.subarray(0, sealBytes))) {
+		const body = datagram.subarray(tagBytes);
+		if (!timingSafeEqual(this.computeTag(body), datagram.subarray(0, tagBytes))) {
 			this.owner.onReject(DatagramReject.BadSeal);
 			return;
 		}
@@ -105,8 +108,8 @@
 		this.owner.onMessage(message);
 	}
 
-	private seal(body: Uint8Array): Uint8Array {
+	private computeTag(body: Uint8Array): Uint8Array {
 		const digest = createHmac('sha256', this.key).update(body).digest();
-		return digest.subarray(0, sealBytes);
+		return digest.subarray(0, tagBytes);
 	}
 }
