--- a/src/declaration/index.ts
+++ b/src/declaration/index.ts
@@ -25,8 +25,8 @@
 	RevisionTracker,
 	serializeDeclaration,
 	type KnownRevisions,
-} from './revision-keeper.js';
+} from './revision-tracker.js';
 export type {SourceFile} from './template.js';
 export {ChangeEvent, changeMachine, ChangeState} from './change-lifecycle.js';
 export {ChangeKind, formatChange, planChanges, type PlannedChange} from './plan.js';
-export {parseContent} from './revision-keeper.js';
+export {parseContent} from './revision-tracker.js';
