--- a/src/link/__tests__/unit/frame-codec.test.ts
+++ b/src/link/__tests__/unit/frame-codec.test.ts
@@ -58,18 +58,18 @@
 ];
 
 describe('frame codec', () => {
-	it.each(frames)('carries a frame of type $type unchanged', (frame) => {
+	it.each(frames)('decodes an encoded frame of type $type to an equal frame', (frame) => {
 		expect(decodeFrame(encodeFrame(frame))).toEqual(frame);
 	});
 
-	it('carries bytes unchanged', () => {
+	it('preserves the bytes of a Data frame', () => {
 		const bytes = Uint8Array.from([1, 2, 3]);
 		const frame = decodeFrame(encodeFrame({type: FrameType.Data, stream: 4, bytes}));
 		expect(frame).toMatchObject({type: FrameType.Data, stream: 4});
 		expect(frame.type === FrameType.Data && [...frame.bytes]).toEqual([1, 2, 3]);
 	});
 
-	it('turns any bytes into a frame or a decode error', () => {
+	it('decodes arbitrary bytes or throws FrameDecodeError', () => {
 		fc.assert(
 			fc.property(fc.uint8Array({maxLength: 200}), (bytes) => {
 				try {
@@ -82,7 +82,7 @@
 		);
 	});
 
-	it('turns a damaged frame into a frame or a decode error', () => {
+	it('decodes a frame with one corrupted byte or throws FrameDecodeError', () => {
 		fc.assert(
 			fc.property(
 				fc.nat(frames.length - 1),
--- a/src/link/body-receiver.ts
+++ b/src/link/body-receiver.ts
@@ -4,34 +4,34 @@
 import type {Link} from './link.js';
 import {windowBytes} from './link-limits.js';
 
-/** The body broke off before its end. */
+/** A streamed body was truncated. */
 export class BodyLostError extends Error {
 	override name = 'BodyLostError';
 }
 
-/** A streamed body as it comes in; grants the sender as much as its reader has taken. */
+/** Receives a streamed body and grants the sender credit as the reader consumes it. */
 export class BodyReceiver extends Readable {
-	/** Filled when the body has ended. */
+	/** Filled in when the body has ended. */
 	readonly trailers: HeaderList = [];
-	private outstanding: number;
+	private outstandingCredit: number;
 
 	constructor(
 		private readonly link: Link,
 		private readonly stream: number,
-		/** Bytes that the sender may send without being told. */
+		/** Bytes that the sender may send before the first Credit frame. */
 		initialCredit: number,
 	) {
 		super({highWaterMark: windowBytes});
-		this.outstanding = initialCredit;
+		this.outstandingCredit = initialCredit;
 	}
 
 	/**
-	 * @param bytes - the next piece.
-	 * @returns false when the sender has broken its bound.
+	 * @param bytes - the next chunk.
+	 * @returns false when the sender exceeded its credit.
 	 */
 	accept(bytes: Uint8Array): boolean {
-		this.outstanding -= bytes.length;
-		if (this.outstanding < 0) {
+		this.outstandingCredit -= bytes.length;
+		if (this.outstandingCredit < 0) {
 			return false;
 		}
 
@@ -40,23 +40,23 @@
 	}
 
 	/**
-	 * The body is whole.
-	 * @param trailers - what came after it.
+	 * Ends the body as complete.
+	 * @param trailers - trailers that followed the body.
 	 */
 	finish(trailers: HeaderList): void {
 		this.trailers.push(...trailers);
 		this.push(null);
 	}
 
-	/** The body is not whole and never will be. */
+	/** Ends the body as truncated: destroys the stream with a {@link BodyLostError}. */
 	fail(): void {
-		this.destroy(new BodyLostError('the body broke off'));
+		this.destroy(new BodyLostError('body truncated: the sender failed or the link was lost'));
 	}
 
 	override _read(): void {
-		const wanted = windowBytes - this.readableLength - this.outstanding;
+		const wanted = windowBytes - this.readableLength - this.outstandingCredit;
 		if (wanted >= windowBytes / 2) {
-			this.outstanding += wanted;
+			this.outstandingCredit += wanted;
 			this.link.send({type: FrameType.Credit, stream: this.stream, bytes: wanted});
 		}
 	}
--- a/src/link/body-sender.ts
+++ b/src/link/body-sender.ts
@@ -4,20 +4,19 @@
 import type {Link} from './link.js';
 import {chunkBytes} from './link-limits.js';
 
-/** What a sender is made of. */
-export interface BodySenderParts {
+export interface BodySenderDependencies {
 	readonly link: Link;
 	readonly stream: number;
 	readonly source: Readable;
-	/** Complete once the source has ended. */
+	/** Complete when the source has ended. */
 	readonly trailers: HeaderList;
-	/** Bytes that may be sent before the receiver says more. */
+	/** Bytes that may be sent before the first Credit frame. */
 	readonly initialCredit: number;
-	/** Called when the last frame of the body is sent. */
+	/** Called after the last frame of the body was sent. */
 	finished(): void;
 }
 
-/** Sends a streamed body, never more than the receiver has granted. */
+/** Sends a streamed body within the credit that the receiver has granted. */
 export class BodySender {
 	private isEnded = false;
 	private isDone = false;
@@ -26,11 +25,11 @@
 	private readonly stream: number;
 	private readonly source: Readable;
 	private readonly trailers: HeaderList;
-	private readonly finished: BodySenderParts['finished'];
+	private readonly finished: BodySenderDependencies['finished'];
 	private credit: number;
 
-	constructor(parts: BodySenderParts) {
-		const {link, stream, source, trailers, initialCredit, finished} = parts;
+	constructor(deps: BodySenderDependencies) {
+		const {link, stream, source, trailers, initialCredit, finished} = deps;
 		this.link = link;
 		this.stream = stream;
 		this.source = source;
@@ -53,14 +52,14 @@
 	}
 
 	/**
-	 * @param bytes - how much more may be sent.
+	 * @param bytes - additional credit.
 	 */
-	grant(bytes: number): void {
+	addCredit(bytes: number): void {
 		this.credit += bytes;
 		this.pump();
 	}
 
-	/** Stops sending; nobody reads any more. */
+	/** Stops sending and destroys the source. */
 	cancel(): void {
 		this.isDone = true;
 		this.source.destroy();
@@ -69,7 +68,7 @@
 	private pump(): void {
 		while (this.credit > 0 && !this.isDone) {
 			const size = Math.min(this.credit, chunkBytes, this.source.readableLength);
-			const chunk = size > 0 ? this.read(size) : this.probeEnd();
+			const chunk = size > 0 ? this.read(size) : this.triggerRead();
 			if (!chunk) {
 				return;
 			}
@@ -79,8 +78,8 @@
 		}
 	}
 
-	// Reading an empty buffer makes the source fetch more, or tell that it has ended.
-	private probeEnd(): Uint8Array | undefined {
+	// Reading from an empty buffer makes the source fetch more data or emit `end`.
+	private triggerRead(): Uint8Array | undefined {
 		this.source.read(0);
 		return undefined;
 	}
--- a/src/link/frame-codec.ts
+++ b/src/link/frame-codec.ts
@@ -8,7 +8,7 @@
 } from '../call/index.js';
 import {FrameType, OpenTarget, type Frame} from './frame.js';
 
-/** Bytes that are no frame of this protocol. */
+/** The bytes are not a valid frame of this protocol. */
 export class FrameDecodeError extends Error {
 	override name = 'FrameDecodeError';
 }
@@ -23,7 +23,7 @@
 	AttemptState.Forgotten,
 ] as const;
 
-// Three digits after the point: figures as short as that take few bytes on the paid link.
+// Rounds to three decimals, which reduces the encoded size: traffic on some links is billed.
 function round(value: number): number {
 	return Math.round(value * 1000) / 1000;
 }
@@ -144,7 +144,7 @@
 	}
 }
 
-/** Reads the fields of a frame in order and checks the type of each. */
+/** Reads the fields of a frame in order and validates their types. */
 class FieldReader {
 	private index = 0;
 
@@ -153,7 +153,7 @@
 	text(): string {
 		const value = this.take();
 		if (typeof value !== 'string') {
-			throw new FrameDecodeError('a text was expected');
+			throw new FrameDecodeError('expected a string');
 		}
 
 		return value;
@@ -166,7 +166,7 @@
 	number(): number {
 		const value = this.take();
 		if (typeof value !== 'number' || !Number.isFinite(value) || value < 0) {
-			throw new FrameDecodeError('a number from 0 was expected');
+			throw new FrameDecodeError('expected a finite number of at least 0');
 		}
 
 		return value;
@@ -175,7 +175,7 @@
 	flag(): boolean {
 		const value = this.take();
 		if (typeof value !== 'boolean') {
-			throw new FrameDecodeError('a flag was expected');
+			throw new FrameDecodeError('expected a boolean');
 		}
 
 		return value;
@@ -184,7 +184,7 @@
 	bytes(): Uint8Array {
 		const value = this.take();
 		if (!(value instanceof Uint8Array)) {
-			throw new FrameDecodeError('bytes were expected');
+			throw new FrameDecodeError('expected bytes');
 		}
 
 		return value;
@@ -199,14 +199,14 @@
 		const headers: HeaderList = [];
 		for (const item of value) {
 			if (typeof item !== 'string') {
-				throw new FrameDecodeError('a header list was expected');
+				throw new FrameDecodeError('expected a header list of strings');
 			}
 
 			headers.push(item);
 		}
 
 		if (headers.length % 2 !== 0) {
-			throw new FrameDecodeError('a header has no value');
+			throw new FrameDecodeError('header list has a name without a value');
 		}
 
 		return headers;
@@ -215,7 +215,7 @@
 	reason(): RefusalReason {
 		const value = this.text();
 		if (!isReason(value)) {
-			throw new FrameDecodeError('a refusal reason was expected');
+			throw new FrameDecodeError('expected a refusal reason');
 		}
 
 		return value;
@@ -250,7 +250,7 @@
 	state(): AttemptState {
 		const state = attemptStates[this.number()];
 		if (state === undefined) {
-			throw new FrameDecodeError('an attempt state was expected');
+			throw new FrameDecodeError('expected an attempt state');
 		}
 
 		return state;
@@ -263,7 +263,7 @@
 	private list(): readonly unknown[] {
 		const value = this.take();
 		if (!Array.isArray(value)) {
-			throw new FrameDecodeError('a list was expected');
+			throw new FrameDecodeError('expected an array');
 		}
 
 		return value;
@@ -409,28 +409,28 @@
 }
 
 /**
- * @param frame - what to send.
- * @returns its bytes.
+ * @param frame - the frame.
+ * @returns the encoded frame.
  */
 export function encodeFrame(frame: Frame): Uint8Array {
 	return packr.pack(packFields(frame));
 }
 
 /**
- * @param bytes - what came from a peer.
+ * @param bytes - message received from a peer.
  * @returns the frame.
- * @throws {@link FrameDecodeError} when the bytes are no frame.
+ * @throws {@link FrameDecodeError} when the bytes are not a valid frame.
  */
 export function decodeFrame(bytes: Uint8Array): Frame {
 	let fields: unknown;
 	try {
 		fields = packr.unpack(bytes);
 	} catch (err) {
-		throw new FrameDecodeError('not msgpack', {cause: err});
+		throw new FrameDecodeError('frame is not valid MessagePack', {cause: err});
 	}
 
 	if (!Array.isArray(fields) || !isFrameType(fields[0])) {
-		throw new FrameDecodeError('not a known frame type');
+		throw new FrameDecodeError('frame is not an array that starts with a known frame type');
 	}
 
 	return decoders[fields[0]](new FieldReader(fields.slice(1)));
--- a/src/link/frame.ts
+++ b/src/link/frame.ts
@@ -7,7 +7,7 @@
 } from '../call/index.js';
 import type {Millis} from '../clock/index.js';
 
-/** Version of the link protocol; peers of another version are turned away. */
+/** Version of the link protocol; links to peers with another version are closed. */
 export const protocolVersion = 2;
 
 /** Kinds of frame; the values are part of the wire format. */
@@ -34,14 +34,14 @@
 	Load = 19,
 }
 
-/** The accepting side proves nothing yet and asks the dialing side for a proof. */
+/** First frame of the handshake: the accepting side requests a proof from the dialing side. */
 export interface ChallengeFrame {
 	readonly type: FrameType.Challenge;
 	readonly version: number;
 	readonly nonce: string;
 }
 
-/** The dialing side names itself and proves that it knows the secret. */
+/** The dialing side identifies itself and proves that it knows the shared secret. */
 export interface HelloFrame {
 	readonly type: FrameType.Hello;
 	readonly version: number;
@@ -52,7 +52,7 @@
 	readonly proof: string;
 }
 
-/** The accepting side does the same. */
+/** The accepting side identifies itself and proves that it knows the shared secret. */
 export interface WelcomeFrame {
 	readonly type: FrameType.Welcome;
 	readonly id: string;
@@ -61,11 +61,11 @@
 	readonly proof: string;
 }
 
-/** Who handles an opened call at the other side. */
+/** Component that handles an opened call at the receiving node. */
 export enum OpenTarget {
-	/** The executor, on its own backend server. */
+	/** The executor, which runs the call on the node's own backend server. */
 	Executor = 0,
-	/** The home of the call's idempotency key, which routes it. */
+	/** The owner of the call's idempotency key, which routes the call. */
 	KeyOwner = 1,
 }
 
@@ -86,15 +86,15 @@
 	readonly fingerprint: string;
 	readonly share: number;
 	readonly canRetryElsewhere: boolean;
-	/** How long the caller still waits, in ms. */
+	/** Time until the caller's deadline, in ms. */
 	readonly timeLeft: Millis;
-	/** How long an answer is still in time, in ms. */
+	/** Time until the latency objective is missed, in ms. */
 	readonly objectiveLeft: Millis;
-	/** The whole body; undefined when it follows as a stream. */
+	/** The complete body; undefined when it is streamed in Data frames. */
 	readonly body: Uint8Array | undefined;
 }
 
-/** Lets the other side send so many bytes more on a stream. */
+/** Grants the receiver of this frame `bytes` more bytes to send on a stream. */
 export interface CreditFrame {
 	readonly type: FrameType.Credit;
 	readonly stream: number;
@@ -107,7 +107,7 @@
 	readonly bytes: Uint8Array;
 }
 
-/** The body on a stream is whole. */
+/** Marks the end of a complete body on a stream. */
 export interface EndFrame {
 	readonly type: FrameType.End;
 	readonly stream: number;
@@ -120,14 +120,14 @@
 	readonly status: number;
 	readonly headers: HeaderList;
 	readonly load: LoadReport;
-	/** The whole body; undefined when it follows as a stream. */
+	/** The complete body; undefined when it is streamed in Data frames. */
 	readonly body: Uint8Array | undefined;
 	readonly trailers: HeaderList;
 	/** Whether the backend server marked the end of the body. */
 	readonly isDelimited: boolean;
 }
 
-/** The attempt is proved not to have run. */
+/** Reports that the attempt has certainly not run. */
 export interface RefusedFrame {
 	readonly type: FrameType.Refused;
 	readonly stream: number;
@@ -135,7 +135,7 @@
 	readonly load: LoadReport | undefined;
 }
 
-/** The attempt may have run, or its body broke off. */
+/** Reports that the attempt may have run, or that its body was truncated. */
 export interface FailedFrame {
 	readonly type: FrameType.Failed;
 	readonly stream: number;
@@ -147,57 +147,57 @@
 	readonly stream: number;
 }
 
-/** Asks what became of an attempt and fences it. */
-export interface AskFrame {
+/** Queries the state of an attempt and fences the attempt if it has not run. */
+export interface AttemptQueryFrame {
 	readonly type: FrameType.AttemptQuery;
 	readonly correlationId: number;
 	readonly sequence: number;
 }
 
-export interface ToldFrame {
+export interface AttemptStatusFrame {
 	readonly type: FrameType.AttemptStatus;
 	readonly correlationId: number;
 	readonly state: AttemptState;
 }
 
-/** A sign of life of an idle link. */
-export interface BeatFrame {
+/** Shows that the sender is alive while it has nothing else to send. */
+export interface HeartbeatFrame {
 	readonly type: FrameType.Heartbeat;
 }
 
-/** The sender takes no new work. */
+/** Announces that the sender takes no new calls. */
 export interface LeavingFrame {
 	readonly type: FrameType.Leaving;
 }
 
-/** Tells the load of the sender's backend server, without being asked. */
+/** Unsolicited load report of the sender's backend server. */
 export interface LoadFrame {
 	readonly type: FrameType.Load;
 	readonly load: LoadReport;
 }
 
-/** Asks for the content of a configuration revision. */
+/** Requests the content of a configuration revision. */
 export interface FetchFrame {
 	readonly type: FrameType.Fetch;
 	readonly correlationId: number;
 	readonly hash: string;
 }
 
-export interface FetchedFrame {
+export interface FetchResultFrame {
 	readonly type: FrameType.FetchResult;
 	readonly correlationId: number;
-	/** Undefined when the sender does not hold it. */
+	/** Undefined when the sender does not have the content. */
 	readonly content: string | undefined;
 }
 
-/** Remembered keys of a node that leaves. */
+/** Idempotency key records of a leaving node. */
 export interface HandoverFrame {
 	readonly type: FrameType.Handover;
 	readonly correlationId: number;
 	readonly records: Uint8Array;
 }
 
-export interface HandoverTakenFrame {
+export interface HandoverAckFrame {
 	readonly type: FrameType.HandoverAck;
 	readonly correlationId: number;
 }
@@ -214,12 +214,12 @@
 	| RefusedFrame
 	| FailedFrame
 	| CancelFrame
-	| AskFrame
-	| ToldFrame
-	| BeatFrame
+	| AttemptQueryFrame
+	| AttemptStatusFrame
+	| HeartbeatFrame
 	| LeavingFrame
 	| LoadFrame
 	| FetchFrame
-	| FetchedFrame
+	| FetchResultFrame
 	| HandoverFrame
-	| HandoverTakenFrame;
+	| HandoverAckFrame;
--- a/src/link/incoming-attempt.ts
+++ b/src/link/incoming-attempt.ts
@@ -17,7 +17,7 @@
 import type {Link} from './link.js';
 import {windowBytes} from './link-limits.js';
 
-const noLoad: LoadReport = {
+const emptyLoad: LoadReport = {
 	inFlight: 0,
 	queued: 0,
 	slots: 0,
@@ -26,7 +26,7 @@
 	slowdown: 1,
 };
 
-/** An attempt that a peer has sent to this node. */
+/** An attempt that a peer sent to this node. */
 export class IncomingAttempt {
 	private readonly cancellation = new Cancellation();
 	private readonly receiver: BodyReceiver | undefined;
@@ -39,16 +39,16 @@
 	) {
 		if (!frame.body) {
 			this.receiver = new BodyReceiver(link, frame.stream, 0);
-			// A body that breaks off is told by the end of the attempt.
+			// A truncated body is reported by the result of the attempt; the listener prevents an uncaught error.
 			this.receiver.on('error', () => undefined);
 		}
 	}
 
 	/**
-	 * @param instance - the incarnation of the peer.
+	 * @param instance - the peer's instance.
 	 * @param now - monotonic time in ms.
-	 * @param staleness - how long the frame may have waited unread, in ms.
-	 * @returns the attempt as the executor takes it.
+	 * @param staleness - upper bound of the time the frame waited unread, in ms; subtracted from its deadlines.
+	 * @returns the attempt for the runner.
 	 */
 	toAttempt(instance: string, now: Millis, staleness: Millis): Attempt {
 		const {sequence, share, canRetryElsewhere: isBounceable, timeLeft, objectiveLeft} = this.frame;
@@ -67,9 +67,9 @@
 	}
 
 	/**
-	 * Runs the attempt and sends its end.
-	 * @param runner - who runs it.
-	 * @param attempt - the attempt.
+	 * Runs the attempt and sends its result to the peer.
+	 * @param runner - runs the attempt.
+	 * @param attempt - the attempt, as returned by {@link toAttempt}.
 	 */
 	async run(runner: AttemptRunner, attempt: Attempt): Promise<void> {
 		const result = await runner.run(attempt);
@@ -97,7 +97,7 @@
 			}
 
 			case FrameType.Credit: {
-				this.sender?.grant(frame.bytes);
+				this.sender?.addCredit(frame.bytes);
 				return true;
 			}
 
@@ -112,8 +112,11 @@
 		}
 	}
 
-	/** The peer can no longer be heard. What may not run twice goes on, as it may have run. */
-	lose(): void {
+	/**
+	 * Handles the loss of the link. Cancels the attempt only if it is idempotent: another one must not run
+	 * twice, and it may have run already.
+	 */
+	handlePeerLost(): void {
 		this.receiver?.fail();
 		this.sender?.cancel();
 		if (this.frame.isIdempotent) {
@@ -159,7 +162,7 @@
 
 	private sendAnswer(result: AnsweredAttempt): void {
 		const {status, headers, body} = result;
-		const load = result.load ?? noLoad;
+		const load = result.load ?? emptyLoad;
 		const {stream} = this.frame;
 		const {bytes, trailers, isDelimited} = body;
 		this.link.send({
@@ -181,7 +184,7 @@
 				initialCredit: windowBytes,
 				finished: this.ended,
 			});
-			this.sender.grant(0);
+			this.sender.addCredit(0);
 		} else {
 			this.ended();
 		}
--- a/src/link/link-hub.ts
+++ b/src/link/link-hub.ts
@@ -14,24 +14,23 @@
 import {invariant, pause, withResolvers} from '../util/index.js';
 import {FrameType, OpenTarget, type Frame} from './frame.js';
 import {Link, LinkCloseReason, LinkRole, type LinkOwner, type PeerIdentity} from './link.js';
-import {beatPeriod, maxFrameBytes, openTimeout} from './link-limits.js';
+import {heartbeatPeriod, maxFrameBytes, openTimeout} from './link-limits.js';
 import {PeerSession, type PeerSessionDelegate} from './peer-session.js';
 
-/** What the hub needs from its node, besides what each session needs. */
+/** Callbacks of the hub into its node. */
 export interface LinkHubDelegate extends Omit<
 	PeerSessionDelegate,
-	'settleLost' | 'now' | 'after' | 'lateFrame' | 'callStarted'
+	'resolveLostAttempt' | 'now' | 'after' | 'lateFrame' | 'callStarted'
 > {
-	/** A peer with calls in flight gives no sign of life. */
+	/** Nothing was received within the silence timeout from a peer with calls in flight. */
 	peerSilent(id: string): void;
-	/** The link to a peer broke, and the peer had not said that it leaves. */
+	/** The peer closed or lost the link without having announced that it leaves. */
 	peerLost(id: string): void;
 }
 
-/** What a hub is made of. */
 export interface LinkHubDependencies {
 	readonly owner: Pick<LinkOwner, 'identity' | 'secret' | 'clock'>;
-	/** IP number from which links are opened and on which they are taken. */
+	/** Local IP address for outgoing connections and for the listening socket. */
 	readonly address: string;
 	readonly delegate: LinkHubDelegate;
 	readonly metrics: Metrics;
@@ -40,24 +39,24 @@
 
 type Dial = {promise: Promise<PeerSession | undefined>};
 
-const settleRetryPeriod: Millis = 100;
+const statusRetryPeriod: Millis = 100;
 
-/** All links of a node: opens, takes, reuses and watches them. */
+/** Opens, accepts, reuses and monitors all links of a node. */
 export class LinkHub {
 	private readonly sessions = new Map<string, PeerSession>();
-	private readonly byLink = new Map<Link, PeerSession>();
+	private readonly sessionsByLink = new Map<Link, PeerSession>();
 	private readonly dials = new Map<string, Dial>();
-	private readonly opening = new Map<Link, (session: PeerSession | undefined) => void>();
-	private readonly unproved = new Set<Link>();
+	private readonly dialCallbacks = new Map<Link, (session: PeerSession | undefined) => void>();
+	private readonly unauthenticated = new Set<Link>();
 	private readonly owner: LinkOwner;
-	private readonly sessionHost: PeerSessionDelegate;
+	private readonly sessionDelegate: PeerSessionDelegate;
 	private server: WebSocketServer | undefined;
-	private undoBeat: Undo | undefined;
+	private cancelLivenessCheck: Undo | undefined;
 	private isStopped = false;
 
-	constructor(private readonly parts: LinkHubDependencies) {
+	constructor(private readonly deps: LinkHubDependencies) {
 		this.owner = {
-			...parts.owner,
+			...deps.owner,
 			linkOpened: (link) => {
 				this.linkOpened(link);
 			},
@@ -68,25 +67,25 @@
 				this.linkClosed(link, reason);
 			},
 			bytesSent: (link, bytes, kind) => {
-				this.countBytes(link, bytes, kind);
+				this.recordBytes(link, bytes, kind);
 			},
 		};
-		this.sessionHost = this.createSessionHost();
+		this.sessionDelegate = this.createSessionDelegate();
 	}
 
 	/**
-	 * Takes links from peers.
+	 * Accepts links from peers.
 	 * @param port - TCP port.
 	 */
 	async listen(port: number): Promise<void> {
 		const server = new WebSocketServer({
-			host: this.parts.address,
+			host: this.deps.address,
 			port,
 			maxPayload: maxFrameBytes,
 			perMessageDeflate: false,
 		});
 		server.on('connection', (socket) => {
-			this.watchOpening(new Link(socket, LinkRole.Acceptor, this.owner));
+			this.startOpenTimeout(new Link(socket, LinkRole.Acceptor, this.owner));
 		});
 		this.server = server;
 		await bindPort(server, (done) => {
@@ -96,7 +95,7 @@
 
 	/**
 	 * @param id - address of a peer.
-	 * @param target - who handles attempts there.
+	 * @param target - component of the peer that handles the attempts.
 	 * @returns a runner that sends attempts to the peer.
 	 */
 	runnerTo(id: string, target = OpenTarget.Executor): AttemptRunner {
@@ -107,14 +106,14 @@
 
 	/**
 	 * @param id - address of a peer.
-	 * @returns the open session with it, if there is one; opens none.
+	 * @returns the open session with the peer, if any; does not connect.
 	 */
 	getSession(id: string): PeerSession | undefined {
 		return this.sessions.get(id);
 	}
 
 	/**
-	 * Opens a link, or takes the one that is open.
+	 * Returns the open session with a peer, or connects.
 	 * @param id - address of a peer.
 	 * @returns the session; undefined when the peer cannot be reached.
 	 */
@@ -130,30 +129,31 @@
 
 	/**
 	 * @param id - address of a peer.
-	 * @returns the incarnation of the peer behind the open link.
+	 * @returns the peer's instance; undefined without an open link.
 	 */
 	getPeerInstance(id: string): string | undefined {
 		return this.sessions.get(id)?.link.peer?.instance;
 	}
 
-	/** Tells every linked peer that this node takes no new work. */
+	/** Announces to all connected peers that this node takes no new calls. */
 	broadcastLeaving(): void {
-		for (const session of this.byLink.values()) {
+		for (const session of this.sessionsByLink.values()) {
 			session.link.send({type: FrameType.Leaving});
 		}
 	}
 
 	/**
-	 * Tells the load of the own backend server to linked peers.
+	 * Sends the load of the node's backend server to connected peers.
 	 * @param load - the load.
-	 * @param isReceiver - tells which peers hear of it, by who they are and whether calls of theirs are here.
+	 * @param isRecipient - selects the receiving peers, by identity and by whether this node handles calls
+	 * of theirs.
 	 */
 	broadcastLoad(
 		load: LoadReport,
-		isReceiver: (peer: PeerIdentity, isWaiting: boolean) => boolean,
+		isRecipient: (peer: PeerIdentity, hasIncomingCalls: boolean) => boolean,
 	): void {
 		for (const session of this.sessions.values()) {
-			if (session.link.peer && isReceiver(session.link.peer, session.hasIncoming)) {
+			if (session.link.peer && isRecipient(session.link.peer, session.hasIncoming)) {
 				session.link.send({type: FrameType.Load, load});
 			}
 		}
@@ -162,48 +162,48 @@
 	/** Closes all links. */
 	stop(): void {
 		this.isStopped = true;
-		this.undoBeat?.();
+		this.cancelLivenessCheck?.();
 		this.server?.close();
-		for (const link of [...this.byLink.keys(), ...this.unproved]) {
+		for (const link of [...this.sessionsByLink.keys(), ...this.unauthenticated]) {
 			link.close(LinkCloseReason.Stopping);
 		}
 	}
 
-	/** Calls that travel on links now, both ways. */
+	/** Calls in flight on all links, in both directions. */
 	get callsInFlight(): number {
 		let count = 0;
-		for (const session of this.byLink.values()) {
+		for (const session of this.sessionsByLink.values()) {
 			count += session.callsInFlight;
 		}
 
 		return count;
 	}
 
-	private createSessionHost(): PeerSessionDelegate {
-		const {delegate: host, metrics} = this.parts;
+	private createSessionDelegate(): PeerSessionDelegate {
+		const {delegate, metrics} = this.deps;
 		return {
 			now: () => this.owner.clock.now(),
 			after: (delay, run) => this.owner.clock.after(delay, run),
-			staleness: () => host.staleness(),
-			runnerFor: (target) => host.runnerFor(target),
-			queryAndFence: (instance, sequence) => host.queryAndFence(instance, sequence),
-			getContent: (hash) => host.getContent(hash),
+			staleness: () => delegate.staleness(),
+			runnerFor: (target) => delegate.runnerFor(target),
+			queryAndFence: (instance, sequence) => delegate.queryAndFence(instance, sequence),
+			getContent: (hash) => delegate.getContent(hash),
 			acceptHandover(from, records) {
-				host.acceptHandover(from, records);
+				delegate.acceptHandover(from, records);
 			},
 			peerLeaving(id) {
-				host.peerLeaving(id);
+				delegate.peerLeaving(id);
 			},
 			peerLoadReported(id, load) {
-				host.peerLoadReported(id, load);
+				delegate.peerLoadReported(id, load);
 			},
 			callStarted: () => {
-				this.watchLater();
+				this.scheduleLivenessCheck();
 			},
 			lateFrame() {
 				metrics.lateAnswers.inc();
 			},
-			settleLost: async (attempt, link) => this.settleLost(attempt, link),
+			resolveLostAttempt: async (attempt, link) => this.resolveLostAttempt(attempt, link),
 		};
 	}
 
@@ -231,23 +231,23 @@
 
 		this.dials.set(id, dial);
 		const socket = new WebSocket(`ws://${id}/`, {
-			localAddress: this.parts.address,
+			localAddress: this.deps.address,
 			maxPayload: maxFrameBytes,
 			perMessageDeflate: false,
 		});
 		const link = new Link(socket, LinkRole.Dialer, this.owner);
-		this.opening.set(link, (session) => {
+		this.dialCallbacks.set(link, (session) => {
 			this.dials.delete(id);
 			resolve(session);
 		});
-		this.watchOpening(link);
+		this.startOpenTimeout(link);
 		return dial;
 	}
 
-	private watchOpening(link: Link): void {
-		this.unproved.add(link);
+	private startOpenTimeout(link: Link): void {
+		this.unauthenticated.add(link);
 		this.owner.clock.after(openTimeout, () => {
-			if (this.unproved.has(link)) {
+			if (this.unauthenticated.has(link)) {
 				link.close(LinkCloseReason.OpenTimeout);
 			}
 		});
@@ -255,21 +255,21 @@
 
 	private linkOpened(link: Link): void {
 		const {peer} = link;
-		invariant(peer !== undefined, 'an open link has a proved peer');
-		this.unproved.delete(link);
-		const session = new PeerSession(link, peer.instance, peer.id, this.sessionHost);
-		this.byLink.set(link, session);
-		this.dropOtherIncarnations(peer);
-		// The newest link is used for new calls; an older one ends with its last call.
+		invariant(peer !== undefined, 'an open link has an authenticated peer');
+		this.unauthenticated.delete(link);
+		const session = new PeerSession(link, peer.instance, peer.id, this.sessionDelegate);
+		this.sessionsByLink.set(link, session);
+		this.closeOtherIncarnations(peer);
+		// New calls use the newest link; older links to the same process only complete their calls in flight.
 		this.sessions.set(peer.id, session);
-		this.opening.get(link)?.(session);
-		this.opening.delete(link);
-		this.parts.logger.log(logEvents.linkOpened, {peer: peer.id});
+		this.dialCallbacks.get(link)?.(session);
+		this.dialCallbacks.delete(link);
+		this.deps.logger.log(logEvents.linkOpened, {peer: peer.id});
 	}
 
-	// A new process at the same address: what the old one was sent can no longer be answered.
-	private dropOtherIncarnations(peer: PeerIdentity): void {
-		for (const link of this.byLink.keys()) {
+	// A new process runs at the same address, so attempts sent to the old one can no longer be answered.
+	private closeOtherIncarnations(peer: PeerIdentity): void {
+		for (const link of this.sessionsByLink.keys()) {
 			if (link.peer?.id === peer.id && link.peer.instance !== peer.instance) {
 				link.close(LinkCloseReason.Replaced);
 			}
@@ -277,38 +277,39 @@
 	}
 
 	private frameReceived(link: Link, frame: Frame): void {
-		const session = this.byLink.get(link);
+		const session = this.sessionsByLink.get(link);
 		if (session && !session.receive(frame)) {
-			this.parts.logger.log(logEvents.frameRejected, {peer: link.peer?.id, type: frame.type});
+			this.deps.logger.log(logEvents.frameRejected, {peer: link.peer?.id, type: frame.type});
 			link.close(LinkCloseReason.BadFrame);
 		}
 	}
 
 	private linkClosed(link: Link, reason: LinkCloseReason): void {
-		const {logger, metrics} = this.parts;
-		const session = this.byLink.get(link);
-		this.unproved.delete(link);
-		this.byLink.delete(link);
+		const {logger, metrics} = this.deps;
+		const session = this.sessionsByLink.get(link);
+		this.unauthenticated.delete(link);
+		this.sessionsByLink.delete(link);
 		if (link.peer && this.sessions.get(link.peer.id) === session) {
 			this.sessions.delete(link.peer.id);
 		}
 
-		this.opening.get(link)?.(undefined);
-		this.opening.delete(link);
+		this.dialCallbacks.get(link)?.(undefined);
+		this.dialCallbacks.delete(link);
 		metrics.linkRejects.inc({reason});
 		const isRejected = reason === LinkCloseReason.BadProof || reason === LinkCloseReason.BadVersion;
 		const event = isRejected ? logEvents.linkRejected : logEvents.linkClosed;
 		logger.log(event, {peer: link.peer?.id, reason});
 		session?.close();
 		if (link.peer && reason === LinkCloseReason.PeerClosed && !session?.isLeaving) {
-			this.parts.delegate.peerLost(link.peer.id);
+			this.deps.delegate.peerLost(link.peer.id);
 		}
 	}
 
-	// The link was lost with an attempt out that must not run twice: only its executor can tell.
-	private async settleLost(attempt: Attempt, lost: Link): Promise<AttemptResult> {
+	// Queries the executor of a non-idempotent attempt whose link was lost: only it knows whether the attempt
+	// has run. Retries until the deadline, and ends as unknown when another process runs at the address.
+	private async resolveLostAttempt(attempt: Attempt, lost: Link): Promise<AttemptResult> {
 		const {peer} = lost;
-		invariant(peer !== undefined, 'attempts travel on open links only');
+		invariant(peer !== undefined, 'attempts are sent on open links only');
 		while (!attempt.deadline.isPast(this.owner.clock.now()) && !this.isStopped) {
 			// eslint-disable-next-line no-await-in-loop
 			const session = await this.connect(peer.id);
@@ -319,55 +320,55 @@
 			// eslint-disable-next-line no-await-in-loop
 			const state = await session?.queryAndFence(attempt.id.sequence);
 			if (state !== undefined) {
-				return settledBy(state);
+				return resultForState(state);
 			}
 
 			// eslint-disable-next-line no-await-in-loop
-			await pause(this.owner.clock, settleRetryPeriod);
+			await pause(this.owner.clock, statusRetryPeriod);
 		}
 
 		return createUnknown(RefusalReason.ExecutorLost);
 	}
 
-	// Without calls in flight there is nothing to watch, and the node is not woken up.
-	private watchLater(): void {
-		this.undoBeat ??= this.owner.clock.after(beatPeriod, () => {
-			this.undoBeat = undefined;
-			this.watch();
+	// Runs only while calls are in flight, so that an idle node has no wake-ups.
+	private scheduleLivenessCheck(): void {
+		this.cancelLivenessCheck ??= this.owner.clock.after(heartbeatPeriod, () => {
+			this.cancelLivenessCheck = undefined;
+			this.checkLiveness();
 			if (this.callsInFlight > 0 && !this.isStopped) {
-				this.watchLater();
+				this.scheduleLivenessCheck();
 			}
 		});
 	}
 
-	private watch(): void {
-		for (const session of this.byLink.values()) {
-			session.beat();
+	private checkLiveness(): void {
+		for (const session of this.sessionsByLink.values()) {
+			session.sendHeartbeat();
 			if (session.isSilent) {
-				session.loseSilent();
+				session.handleSilence();
 				const id = session.link.peer?.id;
 				if (id !== undefined) {
-					this.retire(id, session);
-					this.parts.delegate.peerSilent(id);
+					this.stopUsing(id, session);
+					this.deps.delegate.peerSilent(id);
 				}
 			}
 		}
 	}
 
-	// New calls go over a new link; the silent one is kept for answers that may still come.
-	private retire(id: string, session: PeerSession): void {
+	// New calls open a new link; the silent one stays open for answers that may still arrive.
+	private stopUsing(id: string, session: PeerSession): void {
 		if (this.sessions.get(id) === session) {
 			this.sessions.delete(id);
 		}
 	}
 
-	private countBytes(link: Link, bytes: number, kind: TrafficKind): void {
+	private recordBytes(link: Link, bytes: number, kind: TrafficKind): void {
 		const region = link.peer?.region ?? 'unknown';
-		this.parts.metrics.linkBytes.inc({region, kind}, bytes);
+		this.deps.metrics.linkBytes.inc({region, kind}, bytes);
 	}
 }
 
-function settledBy(state: AttemptState): AttemptResult {
+function resultForState(state: AttemptState): AttemptResult {
 	const isNotRun = state === AttemptState.Fenced || state === AttemptState.Refused;
 	return isNotRun ? createRefused(RefusalReason.Fenced) : createUnknown(RefusalReason.ExecutorLost);
 }
--- a/src/link/link-lifecycle.ts
+++ b/src/link/link-lifecycle.ts
@@ -2,17 +2,17 @@
 
 /** States of a link to a peer. */
 export enum LinkState {
-	/** The socket is open; the peer has not proved who it is. */
+	/** The handshake has not completed. */
 	Authenticating = 'authenticating',
-	/** The peer is known; calls may travel. */
+	/** The peer is authenticated; frames of calls are accepted. */
 	Open = 'open',
-	/** Nothing travels any more. */
+	/** The connection is closed. */
 	Closed = 'closed',
 }
 
-/** What happens to a link. */
+/** Events that change the state of a link. */
 export enum LinkEvent {
-	Proved = 'proved',
+	Authenticated = 'authenticated',
 	Ended = 'ended',
 }
 
@@ -24,7 +24,7 @@
 	initial: LinkState.Authenticating,
 	states: {
 		[LinkState.Authenticating]: {
-			on: {[LinkEvent.Proved]: LinkState.Open, [LinkEvent.Ended]: LinkState.Closed},
+			on: {[LinkEvent.Authenticated]: LinkState.Open, [LinkEvent.Ended]: LinkState.Closed},
 		},
 		[LinkState.Open]: {on: {[LinkEvent.Ended]: LinkState.Closed}},
 		[LinkState.Closed]: {type: 'final'},
--- a/src/link/link-limits.ts
+++ b/src/link/link-limits.ts
@@ -1,25 +1,25 @@
 import {second, type Millis} from '../clock/index.js';
 
-/** Bytes of the largest frame. */
+/** Largest accepted frame, in bytes. */
 export const maxFrameBytes = 4 * 1024 * 1024;
 
-/** Bytes of one piece of a streamed body, so that no body holds up the link. */
+/** Largest Data frame, in bytes; keeps one large body from blocking the other streams of the link. */
 export const chunkBytes = 16_384;
 
-/** Bytes of a streamed body that may be under way and unread. */
+/** Flow-control window: bytes of a streamed body that may be in transit or unread. */
 export const windowBytes = 4 * chunkBytes;
 
-/** How long opening a link may take. */
+/** Time limit for connecting and authenticating a link. */
 export const openTimeout: Millis = second;
 
-/** How long a question to a peer may stay without its reply. */
-export const questionTimeout: Millis = second;
+/** Time limit for the reply to a request with a correlation id. */
+export const requestTimeout: Millis = second;
 
-/** Time between two signs of life on a link with calls in flight. */
-export const beatPeriod: Millis = 200;
+/** Interval of heartbeats on a link with calls in flight. */
+export const heartbeatPeriod: Millis = 200;
 
-/** A link with calls in flight that is silent for so long is taken for broken. */
-export const silenceLimit: Millis = 4 * beatPeriod;
+/** A link with calls in flight counts as broken after receiving nothing for this time. */
+export const silenceTimeout: Millis = 4 * heartbeatPeriod;
 
-/** Streams that one peer may have open on a link. */
+/** Streams that each side may have open on a link. */
 export const maxStreams = 4096;
--- a/src/link/link.ts
+++ b/src/link/link.ts
@@ -13,13 +13,13 @@
 import {createNonce, createProof, isProofValid} from './handshake.js';
 import {LinkEvent, linkMachine, LinkState} from './link-lifecycle.js';
 
-/** Which side opened the socket. */
+/** Side of the connection. The values are part of the handshake proof. */
 export enum LinkRole {
 	Dialer = 'dialer',
 	Acceptor = 'acceptor',
 }
 
-/** Why a link was closed from this side. The values are part of the metrics. */
+/** Reason why a link was closed. The values are part of the metrics. */
 export enum LinkCloseReason {
 	BadFrame = 'bad-frame',
 	BadProof = 'bad-proof',
@@ -32,23 +32,23 @@
 	PeerClosed = 'peer-closed',
 }
 
-/** Who a node is, towards its peers. */
+/** Identity of a node as sent to its peers. */
 export interface PeerIdentity {
 	/** Address and link port. */
 	readonly id: string;
-	/** Unique for each start of the process. */
+	/** Unique per start of the process. */
 	readonly instance: string;
 	readonly region: string;
 }
 
-/** What a link needs from its owner. */
+/** Identity and callbacks that a link gets from its owner. */
 export interface LinkOwner {
 	readonly identity: PeerIdentity;
 	readonly secret: string;
 	readonly clock: Clock;
-	/** The peer has proved who it is. */
+	/** The handshake has completed. */
 	linkOpened(link: Link): void;
-	/** A frame of an open link. */
+	/** A frame arrived on an open link. */
 	frameReceived(link: Link, frame: Frame): void;
 	linkClosed(link: Link, reason: LinkCloseReason): void;
 	bytesSent(link: Link, bytes: number, kind: TrafficKind): void;
@@ -63,12 +63,12 @@
 	FrameType.Answer,
 ]);
 
-/** One connection to a peer, over which many calls travel at once. */
+/** One connection to a peer; multiplexes calls as streams. */
 export class Link {
 	private readonly lifecycle = createActor(linkMachine).start();
 	private readonly nonce = createNonce();
 	private remote: PeerIdentity | undefined;
-	private heardAt: Millis;
+	private receivedAt: Millis;
 	private sentAt: Millis;
 	private nextStream: number;
 	private reason = LinkCloseReason.PeerClosed;
@@ -79,7 +79,7 @@
 		private readonly owner: LinkOwner,
 	) {
 		const now = owner.clock.now();
-		this.heardAt = now;
+		this.receivedAt = now;
 		this.sentAt = now;
 		this.nextStream = role === LinkRole.Dialer ? 0 : 1;
 		this.listen();
@@ -92,27 +92,27 @@
 		return this.lifecycle.getSnapshot().value === LinkState.Open;
 	}
 
-	/** Who is at the other side; undefined until proved. */
+	/** Identity of the peer; undefined until authenticated. */
 	get peer(): PeerIdentity | undefined {
 		return this.remote;
 	}
 
-	/** When the peer last sent something. */
-	get lastHeard(): Millis {
-		return this.heardAt;
+	/** Monotonic time of the last received frame, in ms. */
+	get lastReceived(): Millis {
+		return this.receivedAt;
 	}
 
-	/** When this side last sent something. */
+	/** Monotonic time of the last sent frame, in ms. */
 	get lastSent(): Millis {
 		return this.sentAt;
 	}
 
-	/** Bytes that the socket has not taken yet. */
+	/** Bytes buffered by the socket and not yet sent. */
 	get backlog(): number {
 		return this.socket.bufferedAmount;
 	}
 
-	/** @returns the number of a new stream; the two sides never choose the same. */
+	/** @returns the number of a new stream: even for the dialer, odd for the acceptor. */
 	openStream(): number {
 		const stream = this.nextStream;
 		this.nextStream += 2;
@@ -120,7 +120,7 @@
 	}
 
 	/**
-	 * @param stream - number of a stream.
+	 * @param stream - stream number.
 	 * @returns whether this side opened it.
 	 */
 	isOwnStream(stream: number): boolean {
@@ -128,7 +128,7 @@
 	}
 
 	/**
-	 * @param frame - what to send; dropped when the link is closed.
+	 * @param frame - the frame; dropped when the link is not open.
 	 */
 	send(frame: Frame): void {
 		if (this.socket.readyState !== WebSocket.OPEN) {
@@ -143,8 +143,8 @@
 	}
 
 	/**
-	 * Closes the link at once.
-	 * @param reason - for the metrics and the log.
+	 * Closes the link: with a closing handshake when stopping, otherwise by terminating the connection.
+	 * @param reason - passed to {@link LinkOwner.linkClosed}.
 	 */
 	close(reason: LinkCloseReason): void {
 		this.reason = reason;
@@ -173,7 +173,7 @@
 	}
 
 	private receive(data: Uint8Array): void {
-		this.heardAt = this.owner.clock.now();
+		this.receivedAt = this.owner.clock.now();
 		let frame: Frame;
 		try {
 			frame = decodeFrame(data);
@@ -191,52 +191,52 @@
 
 	private authenticate(frame: Frame): void {
 		if (frame.type === FrameType.Challenge && this.role === LinkRole.Dialer) {
-			this.sayHello(frame.version, frame.nonce);
+			this.sendHello(frame.version, frame.nonce);
 		} else if (frame.type === FrameType.Hello && this.role === LinkRole.Acceptor) {
-			this.takeHello(frame);
+			this.handleHello(frame);
 		} else if (frame.type === FrameType.Welcome && this.role === LinkRole.Dialer) {
-			this.takeIdentity(frame);
+			this.verifyPeer(frame);
 		} else {
 			this.close(LinkCloseReason.OutOfOrder);
 		}
 	}
 
-	private sayHello(version: number, challenge: string): void {
+	private sendHello(version: number, challenge: string): void {
 		if (version !== protocolVersion) {
 			this.close(LinkCloseReason.BadVersion);
 			return;
 		}
 
 		const {id, instance, region} = this.owner.identity;
-		const proof = this.prove(challenge, LinkRole.Dialer, this.owner.identity);
+		const proof = this.computeProof(challenge, LinkRole.Dialer, this.owner.identity);
 		const {nonce} = this;
 		this.send({type: FrameType.Hello, version, id, instance, region, nonce, proof});
 	}
 
-	private takeHello(frame: HelloFrame): void {
+	private handleHello(frame: HelloFrame): void {
 		if (frame.version !== protocolVersion) {
 			this.close(LinkCloseReason.BadVersion);
 			return;
 		}
 
-		if (this.takeIdentity(frame)) {
-			const proof = this.prove(frame.nonce, LinkRole.Acceptor, this.owner.identity);
+		if (this.verifyPeer(frame)) {
+			const proof = this.computeProof(frame.nonce, LinkRole.Acceptor, this.owner.identity);
 			this.send({type: FrameType.Welcome, ...this.owner.identity, proof});
 			this.owner.linkOpened(this);
 		}
 	}
 
-	private takeIdentity(frame: HelloFrame | WelcomeFrame): boolean {
+	private verifyPeer(frame: HelloFrame | WelcomeFrame): boolean {
 		const {id, instance, region} = frame;
 		const peerRole = this.role === LinkRole.Dialer ? LinkRole.Acceptor : LinkRole.Dialer;
-		const expected = this.prove(this.nonce, peerRole, frame);
+		const expected = this.computeProof(this.nonce, peerRole, frame);
 		if (!isProofValid(expected, frame.proof)) {
 			this.close(LinkCloseReason.BadProof);
 			return false;
 		}
 
 		this.remote = {id, instance, region};
-		this.lifecycle.send({type: LinkEvent.Proved});
+		this.lifecycle.send({type: LinkEvent.Authenticated});
 		if (this.role === LinkRole.Dialer) {
 			this.owner.linkOpened(this);
 		}
@@ -244,7 +244,7 @@
 		return true;
 	}
 
-	private prove(nonce: string, role: LinkRole, identity: PeerIdentity): string {
+	private computeProof(nonce: string, role: LinkRole, identity: PeerIdentity): string {
 		const {id, instance, region} = identity;
 		return createProof(this.owner.secret, nonce, [role, id, instance, region].join('\n'));
 	}
--- a/src/link/outgoing-attempt.ts
+++ b/src/link/outgoing-attempt.ts
@@ -16,58 +16,58 @@
 import type {Link} from './link.js';
 import {windowBytes} from './link-limits.js';
 
-/** How the far side of an attempt was lost. */
+/** Reason why the peer of an attempt counts as lost. */
 export enum LossKind {
 	/** The link closed. */
 	Closed = 'closed',
-	/** The peer sends no sign of life. */
+	/** Nothing was received from the peer within the silence timeout. */
 	Silent = 'silent',
 }
 
-/** What an attempt needs from the link it travels on. */
-export interface OutgoingHost {
-	/** Nothing more travels on the stream. */
+/** Callbacks of an outgoing attempt into its session. */
+export interface OutgoingAttemptDelegate {
+	/** The stream has ended; no further frames are sent or expected on it. */
 	streamEnded(stream: number): void;
 	/**
-	 * The attempt was sent, and its end is not known.
+	 * Determines the result of an attempt whose link was lost before an answer came.
 	 * @param attempt - the attempt.
-	 * @param link - the link that it was sent on.
-	 * @returns what could be found out.
+	 * @param link - the link on which it was sent.
+	 * @returns the result; unknown when the executor could not be queried.
 	 */
-	settleLost(attempt: Attempt, link: Link): Promise<AttemptResult>;
+	resolveLostAttempt(attempt: Attempt, link: Link): Promise<AttemptResult>;
 }
 
-/** An attempt that was sent to a peer. */
+/** An attempt that this node sends to a peer. */
 export class OutgoingAttempt {
-	/** Resolves with the end of the attempt. */
+	/** Resolves with the result of the attempt. */
 	readonly result: Promise<AttemptResult>;
 	private sender: BodySender | undefined;
 	private receiver: BodyReceiver | undefined;
 	private isSettled = false;
 	private readonly resolve: (result: AttemptResult) => void;
-	private readonly undos: Undo[] = [];
+	private readonly cleanups: Undo[] = [];
 
 	constructor(
 		private readonly link: Link,
 		private readonly stream: number,
 		readonly attempt: Attempt,
-		private readonly host: OutgoingHost,
+		private readonly delegate: OutgoingAttemptDelegate,
 	) {
 		const {promise, resolve} = withResolvers<AttemptResult>();
 		this.result = promise;
 		this.resolve = resolve;
 	}
 
-	/** Whether no answer has come yet. */
+	/** Whether the attempt has no result yet. */
 	get isWaiting(): boolean {
 		return !this.isSettled;
 	}
 
 	/**
 	 * Sends the attempt.
-	 * @param target - who handles it at the other side.
-	 * @param timeLeft - how long the caller still waits, in ms.
-	 * @param objectiveLeft - how long an answer is still in time, in ms.
+	 * @param target - component of the peer that handles the attempt.
+	 * @param timeLeft - time until the caller's deadline, in ms.
+	 * @param objectiveLeft - time until the latency objective is missed, in ms.
 	 */
 	open(target: OpenTarget, timeLeft: number, objectiveLeft: number): void {
 		const {head, id, share, canRetryElsewhere: isBounceable, body} = this.attempt;
@@ -91,14 +91,14 @@
 			objectiveLeft,
 			body: body.bytes,
 		});
-		this.undos.push(
+		this.cleanups.push(
 			this.attempt.cancellation.registerListener(() => {
 				this.abandon(RefusalReason.Canceled);
 			}),
 		);
 	}
 
-	/** The caller no longer waits for the answer. */
+	/** Ends the attempt as timed out if it has no result yet. */
 	expire(): void {
 		if (!this.isSettled) {
 			this.abandon(RefusalReason.AnswerTimeout);
@@ -112,7 +112,7 @@
 	receive(frame: Frame): boolean {
 		switch (frame.type) {
 			case FrameType.Answer: {
-				return this.takeAnswer(frame);
+				return this.handleAnswer(frame);
 			}
 
 			case FrameType.Refused: {
@@ -122,7 +122,7 @@
 			}
 
 			case FrameType.Failed: {
-				this.takeFailure(frame.reason);
+				this.handleFailure(frame.reason);
 				return true;
 			}
 
@@ -137,7 +137,7 @@
 			}
 
 			case FrameType.Credit: {
-				this.grant(frame.bytes);
+				this.addCredit(frame.bytes);
 				return true;
 			}
 
@@ -148,10 +148,11 @@
 	}
 
 	/**
-	 * The peer can no longer be heard.
-	 * @param kind - how it was lost.
+	 * Handles the loss of the peer. An idempotent attempt ends at once as unknown. Another one is resolved by
+	 * querying the executor when the link has closed, and goes on waiting when the peer is only silent.
+	 * @param kind - reason why the peer counts as lost.
 	 */
-	lose(kind: LossKind): void {
+	handlePeerLost(kind: LossKind): void {
 		this.receiver?.fail();
 		if (this.isSettled) {
 			this.end();
@@ -163,15 +164,15 @@
 			this.end();
 		} else if (kind === LossKind.Closed) {
 			this.end();
-			void this.settleLater();
+			void this.resolveLater();
 		}
 	}
 
-	private async settleLater(): Promise<void> {
-		this.settle(await this.host.settleLost(this.attempt, this.link));
+	private async resolveLater(): Promise<void> {
+		this.settle(await this.delegate.resolveLostAttempt(this.attempt, this.link));
 	}
 
-	private takeAnswer(frame: AnswerFrame): boolean {
+	private handleAnswer(frame: AnswerFrame): boolean {
 		if (this.isSettled) {
 			return false;
 		}
@@ -194,7 +195,7 @@
 		return true;
 	}
 
-	private takeFailure(reason: RefusalReason): void {
+	private handleFailure(reason: RefusalReason): void {
 		if (this.isSettled) {
 			this.receiver?.fail();
 		} else {
@@ -204,10 +205,10 @@
 		this.end();
 	}
 
-	private grant(bytes: number): void {
+	private addCredit(bytes: number): void {
 		const {stream: source, trailers} = this.attempt.body;
 		if (this.sender) {
-			this.sender.grant(bytes);
+			this.sender.addCredit(bytes);
 		} else if (source) {
 			this.sender = new BodySender({
 				link: this.link,
@@ -217,7 +218,7 @@
 				initialCredit: bytes,
 				finished: () => undefined,
 			});
-			this.sender.grant(0);
+			this.sender.addCredit(0);
 		}
 	}
 
@@ -243,10 +244,10 @@
 	}
 
 	private end(): void {
-		for (const undo of this.undos.splice(0)) {
+		for (const undo of this.cleanups.splice(0)) {
 			undo();
 		}
 
-		this.host.streamEnded(this.stream);
+		this.delegate.streamEnded(this.stream);
 	}
 }
--- a/src/link/peer-session.ts
+++ b/src/link/peer-session.ts
@@ -11,99 +11,100 @@
 import {FrameType, OpenTarget, type Frame, type OpenFrame} from './frame.js';
 import {IncomingAttempt} from './incoming-attempt.js';
 import type {Link} from './link.js';
-import {beatPeriod, maxStreams, questionTimeout, silenceLimit} from './link-limits.js';
-import {LossKind, OutgoingAttempt, type OutgoingHost} from './outgoing-attempt.js';
+import {heartbeatPeriod, maxStreams, requestTimeout, silenceTimeout} from './link-limits.js';
+import {LossKind, OutgoingAttempt, type OutgoingAttemptDelegate} from './outgoing-attempt.js';
 
-/** What a session needs from its node. */
-export interface PeerSessionDelegate extends Omit<OutgoingHost, 'streamEnded'> {
+/** Callbacks of a session into its node. */
+export interface PeerSessionDelegate extends Omit<OutgoingAttemptDelegate, 'streamEnded'> {
 	/** @returns monotonic time in ms. */
 	now(): Millis;
 	/**
 	 * Sets a timer.
 	 * @param delay - in ms.
-	 * @param run - what to run.
+	 * @param run - called when the delay has passed.
+	 * @returns a function that cancels the timer.
 	 */
 	after(delay: Millis, run: () => void): Undo;
-	/** @returns how long this process may have left frames unread, in ms. */
+	/** @returns upper bound of the time that received frames waited unread in this process, in ms. */
 	staleness(): Millis;
 	/**
-	 * @param target - who is meant.
-	 * @returns who runs attempts that come from peers.
+	 * @param target - component that an attempt is addressed to.
+	 * @returns the runner for attempts of peers.
 	 */
 	runnerFor(target: OpenTarget): AttemptRunner;
 	/**
-	 * @param instance - incarnation of the peer that asks.
+	 * @param instance - instance of the querying peer.
 	 * @param sequence - number of the attempt.
-	 * @returns what became of the attempt; it is fenced if it has not run.
+	 * @returns the state of the attempt, which is fenced if it has not run.
 	 */
 	queryAndFence(instance: string, sequence: number): AttemptState;
 	/**
 	 * @param hash - hash of a configuration's content.
-	 * @returns the content, if this node holds it.
+	 * @returns the content, if this node has it.
 	 */
 	getContent(hash: string): string | undefined;
 	/**
-	 * Takes over what a leaving peer remembers.
+	 * Takes over the key records of a leaving peer.
 	 * @param from - id of the peer.
-	 * @param records - its remembered keys.
+	 * @param records - encoded idempotency key records.
 	 */
 	acceptHandover(from: string, records: Uint8Array): void;
-	/** A peer takes no new work. */
+	/** A peer announced that it takes no new calls. */
 	peerLeaving(id: string): void;
-	/** A peer tells the load of its backend server. */
+	/** A peer sent a load report of its backend server. */
 	peerLoadReported(id: string, load: LoadReport): void;
-	/** An answer came for an attempt that has ended. */
+	/** A frame arrived for a stream or request that has ended. */
 	lateFrame(): void;
-	/** A call travels on the link from now on. */
+	/** A call has started on the link, in either direction. */
 	callStarted(): void;
 }
 
-type Answerable = {kind: FrameType; resolve: (frame: Frame | undefined) => void};
+type PendingRequest = {kind: FrameType; resolve: (frame: Frame | undefined) => void};
 
-/** Everything that travels over one open link. */
+/** Attempts and requests on one open link, in both directions. */
 export class PeerSession {
 	private readonly outgoing = new Map<number, OutgoingAttempt>();
 	private readonly incoming = new Map<number, IncomingAttempt>();
-	private readonly questions = new Map<number, Answerable>();
-	private nextQuestion = 0;
+	private readonly pendingRequests = new Map<number, PendingRequest>();
+	private lastCorrelationId = 0;
 	private isPeerLeaving = false;
 
 	constructor(
 		readonly link: Link,
 		private readonly instance: string,
 		private readonly peerId: string,
-		private readonly host: PeerSessionDelegate,
+		private readonly delegate: PeerSessionDelegate,
 	) {}
 
-	/** Calls that travel on the link now, both ways. */
+	/** Calls in flight on the link, in both directions. */
 	get callsInFlight(): number {
 		return this.outgoing.size + this.incoming.size;
 	}
 
-	/** Whether the peer has said that it takes no new work. */
+	/** Whether the peer has announced that it takes no new calls. */
 	get isLeaving(): boolean {
 		return this.isPeerLeaving;
 	}
 
-	/** Whether calls of the peer are here. */
+	/** Whether this node handles calls of the peer. */
 	get hasIncoming(): boolean {
 		return this.incoming.size > 0;
 	}
 
-	/** Whether the peer ought to have given a sign of life by now. */
+	/** Whether calls wait for the peer and nothing was received from it within the silence timeout. */
 	get isSilent(): boolean {
-		const silence = this.host.now() - this.link.lastHeard;
-		return this.outgoing.size > 0 && silence > silenceLimit;
+		const silence = this.delegate.now() - this.link.lastReceived;
+		return this.outgoing.size > 0 && silence > silenceTimeout;
 	}
 
 	/**
 	 * Sends an attempt to the peer.
-	 * @param attempt - what to run.
-	 * @param target - who handles it there.
-	 * @returns how it ended.
+	 * @param attempt - the attempt.
+	 * @param target - component of the peer that handles it.
+	 * @returns the result.
 	 */
 	async run(attempt: Attempt, target: OpenTarget): Promise<AttemptResult> {
-		const timeLeft = attempt.deadline.timeLeft(this.host.now());
+		const timeLeft = attempt.deadline.timeLeft(this.delegate.now());
 		if (this.outgoing.size >= maxStreams) {
 			return createRefused(RefusalReason.TooManyCalls);
 		}
@@ -113,31 +114,31 @@
 			streamEnded: (ended) => {
 				this.outgoing.delete(ended);
 			},
-			settleLost: async (lost, link) =>
+			resolveLostAttempt: async (lost, link) =>
 				target === OpenTarget.Executor
-					? this.host.settleLost(lost, link)
+					? this.delegate.resolveLostAttempt(lost, link)
 					: createUnknown(RefusalReason.ExecutorLost),
 		});
 		this.outgoing.set(stream, outgoing);
-		this.host.callStarted();
-		const cancelTimer = this.host.after(timeLeft, () => {
+		this.delegate.callStarted();
+		const cancelTimer = this.delegate.after(timeLeft, () => {
 			outgoing.expire();
 		});
-		outgoing.open(target, timeLeft, attempt.objective.timeLeft(this.host.now()));
+		outgoing.open(target, timeLeft, attempt.objective.timeLeft(this.delegate.now()));
 		const result = await outgoing.result;
 		cancelTimer();
 		return result;
 	}
 
 	/**
-	 * Asks what became of an attempt, and keeps it from running if it has not run.
+	 * Queries the state of an attempt, and fences the attempt if it has not run.
 	 * @param sequence - number of the attempt.
-	 * @returns its state; undefined when the link was lost.
+	 * @returns its state; undefined when the link was lost or the request timed out.
 	 */
 	async queryAndFence(sequence: number): Promise<AttemptState | undefined> {
-		const frame = await this.ask(FrameType.AttemptStatus, (question) => ({
+		const frame = await this.request(FrameType.AttemptStatus, (correlationId) => ({
 			type: FrameType.AttemptQuery,
-			correlationId: question,
+			correlationId,
 			sequence,
 		}));
 		return frame?.type === FrameType.AttemptStatus ? frame.state : undefined;
@@ -145,67 +146,67 @@
 
 	/**
 	 * @param hash - hash of a configuration's content.
-	 * @returns the content, if the peer holds it.
+	 * @returns the content; undefined when the peer does not have it or did not reply.
 	 */
 	async fetchContent(hash: string): Promise<string | undefined> {
-		const frame = await this.ask(FrameType.FetchResult, (question) => ({
+		const frame = await this.request(FrameType.FetchResult, (correlationId) => ({
 			type: FrameType.Fetch,
-			correlationId: question,
+			correlationId,
 			hash,
 		}));
 		return frame?.type === FrameType.FetchResult ? frame.content : undefined;
 	}
 
 	/**
-	 * Hands remembered keys to the peer.
-	 * @param records - the keys.
-	 * @returns whether the peer has taken them.
+	 * Hands idempotency key records over to the peer.
+	 * @param records - the encoded records.
+	 * @returns whether the peer has acknowledged them.
 	 */
 	async handOver(records: Uint8Array): Promise<boolean> {
-		const frame = await this.ask(FrameType.HandoverAck, (question) => ({
+		const frame = await this.request(FrameType.HandoverAck, (correlationId) => ({
 			type: FrameType.Handover,
-			correlationId: question,
+			correlationId,
 			records,
 		}));
 		return frame !== undefined;
 	}
 
-	/** Gives a sign of life when calls wait and nothing else was sent of late. */
-	beat(): void {
-		const quiet = this.host.now() - this.link.lastSent;
-		if (this.incoming.size > 0 && quiet >= beatPeriod) {
+	/** Sends a heartbeat if the peer waits for calls and nothing was sent within the heartbeat period. */
+	sendHeartbeat(): void {
+		const quiet = this.delegate.now() - this.link.lastSent;
+		if (this.incoming.size > 0 && quiet >= heartbeatPeriod) {
 			this.link.send({type: FrameType.Heartbeat});
 		}
 	}
 
-	/** Gives up what can be given up safely, as the peer is silent. */
-	loseSilent(): void {
+	/** Ends the idempotent outgoing attempts, as the peer is silent. */
+	handleSilence(): void {
 		for (const outgoing of this.outgoing.values()) {
-			outgoing.lose(LossKind.Silent);
+			outgoing.handlePeerLost(LossKind.Silent);
 		}
 	}
 
-	/** The link has closed. */
+	/** Ends all attempts and requests after the link has closed. */
 	close(): void {
 		for (const outgoing of this.outgoing.values()) {
-			outgoing.lose(LossKind.Closed);
+			outgoing.handlePeerLost(LossKind.Closed);
 		}
 
 		for (const incoming of this.incoming.values()) {
-			incoming.lose();
+			incoming.handlePeerLost();
 		}
 
-		for (const question of this.questions.values()) {
-			question.resolve(undefined);
+		for (const pending of this.pendingRequests.values()) {
+			pending.resolve(undefined);
 		}
 
 		this.outgoing.clear();
 		this.incoming.clear();
-		this.questions.clear();
+		this.pendingRequests.clear();
 	}
 
 	/**
-	 * @param frame - what came.
+	 * @param frame - the received frame.
 	 * @returns false when the frame breaks the protocol.
 	 */
 	receive(frame: Frame): boolean {
@@ -231,31 +232,31 @@
 			}
 
 			case FrameType.AttemptQuery: {
-				const state = this.host.queryAndFence(this.instance, frame.sequence);
+				const state = this.delegate.queryAndFence(this.instance, frame.sequence);
 				this.link.send({type: FrameType.AttemptStatus, correlationId: frame.correlationId, state});
 				return true;
 			}
 
 			case FrameType.Fetch: {
-				const content = this.host.getContent(frame.hash);
+				const content = this.delegate.getContent(frame.hash);
 				this.link.send({type: FrameType.FetchResult, correlationId: frame.correlationId, content});
 				return true;
 			}
 
 			case FrameType.Handover: {
-				this.host.acceptHandover(this.peerId, frame.records);
+				this.delegate.acceptHandover(this.peerId, frame.records);
 				this.link.send({type: FrameType.HandoverAck, correlationId: frame.correlationId});
 				return true;
 			}
 
 			case FrameType.Leaving: {
 				this.isPeerLeaving = true;
-				this.host.peerLeaving(this.peerId);
+				this.delegate.peerLeaving(this.peerId);
 				return true;
 			}
 
 			case FrameType.Load: {
-				this.host.peerLoadReported(this.peerId, frame.load);
+				this.delegate.peerLoadReported(this.peerId, frame.load);
 				return true;
 			}
 
@@ -285,53 +286,57 @@
 			this.incoming.delete(stream);
 		});
 		this.incoming.set(stream, incoming);
-		this.host.callStarted();
-		const attempt = incoming.toAttempt(this.instance, this.host.now(), this.host.staleness());
-		void incoming.run(this.host.runnerFor(frame.target), attempt);
+		this.delegate.callStarted();
+		const attempt = incoming.toAttempt(
+			this.instance,
+			this.delegate.now(),
+			this.delegate.staleness(),
+		);
+		void incoming.run(this.delegate.runnerFor(frame.target), attempt);
 		return true;
 	}
 
 	private receiveOnStream(stream: number, frame: Frame): boolean {
-		const party = this.link.isOwnStream(stream)
+		const attempt = this.link.isOwnStream(stream)
 			? this.outgoing.get(stream)
 			: this.incoming.get(stream);
-		if (!party) {
-			this.host.lateFrame();
+		if (!attempt) {
+			this.delegate.lateFrame();
 			return true;
 		}
 
-		return party.receive(frame);
+		return attempt.receive(frame);
 	}
 
-	private receiveReply(question: number, frame: Frame): boolean {
-		const asked = this.questions.get(question);
-		if (!asked) {
-			this.host.lateFrame();
+	private receiveReply(correlationId: number, frame: Frame): boolean {
+		const pending = this.pendingRequests.get(correlationId);
+		if (!pending) {
+			this.delegate.lateFrame();
 			return true;
 		}
 
-		if (asked.kind !== frame.type) {
+		if (pending.kind !== frame.type) {
 			return false;
 		}
 
-		this.questions.delete(question);
-		asked.resolve(frame);
+		this.pendingRequests.delete(correlationId);
+		pending.resolve(frame);
 		return true;
 	}
 
-	private async ask(
+	private async request(
 		kind: FrameType,
-		build: (question: number) => Frame,
+		build: (correlationId: number) => Frame,
 	): Promise<Frame | undefined> {
-		this.nextQuestion += 1;
-		const question = this.nextQuestion;
+		this.lastCorrelationId += 1;
+		const correlationId = this.lastCorrelationId;
 		const {promise, resolve} = withResolvers<Frame | undefined>();
-		this.questions.set(question, {kind, resolve});
-		this.host.after(questionTimeout, () => {
-			this.questions.delete(question);
+		this.pendingRequests.set(correlationId, {kind, resolve});
+		this.delegate.after(requestTimeout, () => {
+			this.pendingRequests.delete(correlationId);
 			resolve(undefined);
 		});
-		this.link.send(build(question));
+		this.link.send(build(correlationId));
 		return promise;
 	}
 }
