--- a/src/control/__tests__/unit/configuration-feed.test.ts
+++ b/src/control/__tests__/unit/configuration-feed.test.ts
@@ -33,26 +33,26 @@
 	return {changes: [{key: 'config', value, etag: String(position)}], position};
 }
 
-/** Never resolves: the store has nothing more to tell. */
-const nothingMore = new Promise<never>(() => {
-	// The feed is stopped while it waits.
+/** Never resolves, like a long poll without changes. */
+const pendingPage = new Promise<never>(() => {
+	// The feed is stopped while this is pending.
 });
 
-/** Plays pages and errors of a store in turn, and then nothing more. */
-async function play(steps: readonly Step[]) {
+/** Runs a feed against a store that returns the given pages and errors in turn and then does not answer. */
+async function runFeed(steps: readonly Step[]) {
 	const clock = new ManualClock(1000);
-	const keeper = new RevisionTracker();
+	const revisions = new RevisionTracker();
 	const events: string[] = [];
-	const asked: Array<number | undefined> = [];
+	const requestedPositions: Array<number | undefined> = [];
 	const left = [...steps];
 	const next = async (position: number | undefined): Promise<ChangePage> => {
-		asked.push(position);
+		requestedPositions.push(position);
 		const step = left.shift();
 		if (step instanceof Error) {
 			throw step;
 		}
 
-		return step ?? nothingMore;
+		return step ?? pendingPage;
 	};
 
 	const store: RowFeed = {
@@ -66,7 +66,7 @@
 	};
 	const gossip = createTestGossip(clock);
 	const inForce: number[] = [];
-	keeper.registerListener(({revision}) => {
+	revisions.registerListener(({revision}) => {
 		inForce.push(revision);
 	});
 	const hub = {connect: async () => undefined} as unknown as LinkHub;
@@ -74,7 +74,7 @@
 		clock,
 		random: createRandom(1),
 		logger,
-		revisions: keeper,
+		revisions,
 		gossip,
 		hub,
 		store,
@@ -89,34 +89,34 @@
 	}
 
 	feed.stop();
-	return {inForce, events, asked};
+	return {inForce, events, requestedPositions};
 }
 
 describe('ConfigurationFeed', () => {
-	it('takes a new configuration into force and follows from there', async () => {
-		const {inForce, asked} = await play([page('3', 10), page('5', 12)]);
+	it('puts a new configuration in force and continues from the position of its page', async () => {
+		const {inForce, requestedPositions} = await runFeed([page('3', 10), page('5', 12)]);
 		expect(inForce).toEqual([3, 5]);
-		expect(asked).toEqual([undefined, 10, 12]);
+		expect(requestedPositions).toEqual([undefined, 10, 12]);
 	});
 
-	it('never goes back, and keeps what is in force when it reads something broken', async () => {
-		const {inForce, events} = await play([page('5', 10), page('3', 11), page('broken', 12)]);
+	it('ignores a lower revision and keeps the revision in force when the row cannot be parsed', async () => {
+		const {inForce, events} = await runFeed([page('5', 10), page('3', 11), page('broken', 12)]);
 		expect(inForce).toEqual([5]);
 		expect(events).toContain(logEvents.revisionRejected.name);
 	});
 
-	it('reads the table anew when the history is lost', async () => {
+	it('reads a new snapshot when the history is lost', async () => {
 		const lost = new HistoryLostError('gone');
-		const {inForce, asked} = await play([page('3', 10), lost, page('9', 40)]);
+		const {inForce, requestedPositions} = await runFeed([page('3', 10), lost, page('9', 40)]);
 		expect(inForce).toEqual([3, 9]);
-		expect(asked).toEqual([undefined, 10, undefined, 40]);
+		expect(requestedPositions).toEqual([undefined, 10, undefined, 40]);
 	});
 
-	it('tells once that the store is lost, and once that it is back', async () => {
+	it('logs the loss of the feed once and its recovery once', async () => {
 		const down = new StoreUnavailableError('down');
-		const {inForce, events} = await play([page('3', 10), down, down, down, page('4', 11)]);
+		const {inForce, events} = await runFeed([page('3', 10), down, down, down, page('4', 11)]);
 		expect(inForce).toEqual([3, 4]);
-		const told = events.filter((name) => name.startsWith('feed-'));
-		expect(told).toEqual([logEvents.feedLost.name, logEvents.feedRegained.name]);
+		const feedEvents = events.filter((name) => name.startsWith('feed-'));
+		expect(feedEvents).toEqual([logEvents.feedLost.name, logEvents.feedRegained.name]);
 	});
 });
--- a/src/control/__tests__/unit/readers.test.ts
+++ b/src/control/__tests__/unit/readers.test.ts
@@ -4,12 +4,12 @@
 import {createTestGossip} from '../../../membership/__tests__/test-gossip.js';
 import {mustReadStore, selectReaders} from '../../index.js';
 
-const sizes = 20;
+const zoneSize = 20;
 
 function createZone() {
 	const clock = new ManualClock(1000);
 	const gossip = createTestGossip(clock);
-	for (let i = 2; i <= sizes; i++) {
+	for (let i = 2; i <= zoneSize; i++) {
 		gossip.directory.merge(createLocalMember(`10.0.0.${i}:7001`, 1, {region: 'r', zone: 'z'}));
 		gossip.directory.merge(createLocalMember(`10.0.1.${i}:7001`, 1, {region: 'r', zone: 'y'}));
 	}
@@ -21,7 +21,7 @@
 	gossip.directory.merge({...gossip.directory.get(id)!, liveness});
 }
 
-function hearFrom(gossip: Gossip, id: string): void {
+function receiveFrom(gossip: Gossip, id: string): void {
 	gossip.receive({
 		type: GossipType.HeldRevision,
 		sender: {id, incarnation: 1, version: 1},
@@ -29,8 +29,8 @@
 	});
 }
 
-describe('readersOf', () => {
-	it('names two members of the own zone', () => {
+describe('selectReaders', () => {
+	it('selects two members of its own zone', () => {
 		const readers = selectReaders(createZone().gossip);
 		expect(readers).toHaveLength(2);
 		expect(readers.every((id) => id.startsWith('10.0.0.'))).toBe(true);
@@ -45,25 +45,25 @@
 	});
 });
 
-describe('mustRead', () => {
-	it('leaves the reading to the readers while others are heard', () => {
+describe('mustReadStore', () => {
+	it('is true only for readers while gossip arrives', () => {
 		const {clock, gossip} = createZone();
-		hearFrom(gossip, '10.0.0.2:7001');
+		receiveFrom(gossip, '10.0.0.2:7001');
 		expect(mustReadStore(gossip, clock)).toBe(
 			selectReaders(gossip).includes(gossip.localMember.id),
 		);
 	});
 
-	it('lets a node that hears of nobody read for itself', () => {
+	it('is true for an isolated node until gossip arrives again', () => {
 		const {clock, gossip} = createZone();
 		for (const id of selectReaders(gossip)) {
 			setLiveness(gossip, id, Liveness.Alive);
 		}
 
-		hearFrom(gossip, '10.0.0.2:7001');
+		receiveFrom(gossip, '10.0.0.2:7001');
 		clock.advance(1500);
 		expect(mustReadStore(gossip, clock)).toBe(true);
-		hearFrom(gossip, '10.0.0.3:7001');
+		receiveFrom(gossip, '10.0.0.3:7001');
 		expect(mustReadStore(gossip, clock)).toBe(
 			selectReaders(gossip).includes(gossip.localMember.id),
 		);
--- a/src/control/__tests__/unit/roster.test.ts
+++ b/src/control/__tests__/unit/roster.test.ts
@@ -67,7 +67,7 @@
 	}
 }
 
-function createWorld(isFirstStart = false) {
+function createFixture(isFirstStart = false) {
 	const clock = new ManualClock(1000);
 	const joined: string[] = [];
 	const gossip = createTestGossip(clock, {
@@ -92,7 +92,7 @@
 		await store.write([{key: `members/${id}`, value, expect: Precondition.Any}]);
 	};
 
-	const play = async (span: number) => {
+	const advance = async (span: number) => {
 		for (let i = 0; i < span; i += 20) {
 			for (let turn = 0; turn < 10; turn++) {
 				await Promise.resolve();
@@ -102,7 +102,7 @@
 		}
 	};
 
-	const meet = (id: string) => {
+	const receiveFrom = (id: string) => {
 		gossip.receive({
 			type: GossipType.HeldRevision,
 			sender: {id, incarnation: 1, version: 1},
@@ -110,65 +110,65 @@
 		});
 	};
 
-	return {clock, gossip, store, roster, joined, addRow, play, meet};
+	return {clock, gossip, store, roster, joined, addRow, advance, receiveFrom};
 }
 
 const minutes = 60_000;
 
 describe('Roster', () => {
-	it('reads the others, writes its row where it is missing, and joins them', async () => {
-		const {roster, store, joined, addRow, play, meet} = createWorld();
+	it('reads the rows, writes its missing row and joins the others', async () => {
+		const {roster, store, joined, addRow, advance, receiveFrom} = createFixture();
 		await addRow('10.0.0.2:7001');
 		const enrolled = roster.enroll();
-		await play(200);
+		await advance(200);
 		expect(store.rows.has('members/10.0.0.1:7001')).toBe(true);
 		expect(joined).toEqual(['10.0.0.2:7001']);
-		meet('10.0.0.2:7001');
-		await play(500);
+		receiveFrom('10.0.0.2:7001');
+		await advance(500);
 		await enrolled;
 	});
 
-	it('writes nothing when its row is there', async () => {
-		const {roster, store, addRow, play, meet} = createWorld();
+	it('writes nothing when its row is up to date', async () => {
+		const {roster, store, addRow, advance, receiveFrom} = createFixture();
 		await addRow('10.0.0.1:7001', '{"region":"r","zone":"z","service":"s"}');
 		await addRow('10.0.0.2:7001');
 		store.calls = 0;
 		void roster.enroll();
-		await play(100);
-		meet('10.0.0.2:7001');
-		await play(2000);
+		await advance(100);
+		receiveFrom('10.0.0.2:7001');
+		await advance(2000);
 		expect(store.calls).toBe(1);
 	});
 
-	it('reads nothing at the first start when others have found it', async () => {
-		const {roster, store, play, meet} = createWorld(true);
+	it('does not read at the first start when another node has contacted it', async () => {
+		const {roster, store, advance, receiveFrom} = createFixture(true);
 		void roster.enroll();
-		await play(1);
-		meet('10.0.0.2:7001');
-		await play(2000);
+		await advance(1);
+		receiveFrom('10.0.0.2:7001');
+		await advance(2000);
 		expect(store.calls).toBe(1);
 		expect(store.rows.has('members/10.0.0.1:7001')).toBe(true);
 	});
 
-	it('finds a newcomer that wrote its row after the first reading', async () => {
-		const {roster, joined, addRow, play} = createWorld();
+	it('joins a node that wrote its row after the first read', async () => {
+		const {roster, joined, addRow, advance} = createFixture();
 		void roster.enroll();
-		await play(100);
+		await advance(100);
 		await addRow('10.0.0.2:7001');
-		await play(3000);
+		await advance(3000);
 		expect(joined).toContain('10.0.0.2:7001');
 	});
 
-	it('writes its row anew when it tells of another service', async () => {
-		const {roster, store, addRow, play} = createWorld();
+	it('replaces its row when it names another service', async () => {
+		const {roster, store, addRow, advance} = createFixture();
 		await addRow('10.0.0.1:7001', '{"region":"r","zone":"z","service":"old"}');
 		void roster.enroll();
-		await play(100);
+		await advance(100);
 		expect(store.rows.get('members/10.0.0.1:7001')?.value).toContain('"service":"s"');
 	});
 
-	it('lets calls go to members of the rows that give a sign of life, and to none that a row spoils', async () => {
-		const {roster, gossip, addRow, play, meet} = createWorld();
+	it('routes calls to members of the rows that answer, and to none with a malformed row', async () => {
+		const {roster, gossip, addRow, advance, receiveFrom} = createFixture();
 		for (const id of ['10.0.0.2:7001', '10.0.0.3:7001']) {
 			await addRow(id, '{"region":"r","zone":"z","service":"t"}');
 		}
@@ -176,25 +176,25 @@
 		await addRow('10.0.0.4:7001', '{"region":"r","zone":"z"}');
 		await addRow('10.0.0.5:7001', 'no JSON');
 		void roster.enroll();
-		await play(100);
-		meet('10.0.0.2:7001');
+		await advance(100);
+		receiveFrom('10.0.0.2:7001');
 		const routable = [...gossip.directory.ofService('t')].filter((member) => isRoutable(member));
 		expect(routable.map(({id}) => id)).toEqual(['10.0.0.2:7001']);
 		expect(gossip.directory.size).toBe(3);
 	});
 
-	it('knocks again while nobody has answered, without reading each time', async () => {
-		const {roster, store, joined, addRow, play} = createWorld();
+	it('repeats the join until a member answers, without reading the rows each time', async () => {
+		const {roster, store, joined, addRow, advance} = createFixture();
 		await addRow('10.0.0.2:7001');
 		store.calls = 0;
 		void roster.enroll();
-		await play(900);
+		await advance(900);
 		expect(joined.length).toBeGreaterThanOrEqual(3);
 		expect(store.calls).toBeLessThanOrEqual(2);
 	});
 
-	it('introduces itself to a bounded number of members, most of them near', async () => {
-		const {roster, joined, addRow, play} = createWorld();
+	it('sends the join to a bounded number of members, most of them in its own zone and region', async () => {
+		const {roster, joined, addRow, advance} = createFixture();
 		for (let i = 1; i <= 100; i++) {
 			await addRow(`10.0.1.${i}:7001`, '{"region":"r","zone":"z","service":"t"}');
 			await addRow(`10.0.2.${i}:7001`, '{"region":"r","zone":"y","service":"t"}');
@@ -202,25 +202,25 @@
 		}
 
 		void roster.enroll();
-		await play(100);
+		await advance(100);
 		const count = (start: string) => joined.filter((id) => id.startsWith(start)).length;
 		expect([count('10.0.1.'), count('10.0.2.'), count('10.0.3.')]).toEqual([3, 2, 1]);
 	});
 
-	it('goes on until the store is back', async () => {
-		const {roster, store, joined, addRow, play} = createWorld();
+	it('retries until the store is available again', async () => {
+		const {roster, store, joined, addRow, advance} = createFixture();
 		await addRow('10.0.0.2:7001');
 		store.isDown = true;
 		void roster.enroll();
-		await play(5000);
+		await advance(5000);
 		expect(joined).toEqual([]);
 		store.isDown = false;
-		await play(1000);
+		await advance(1000);
 		expect(joined).toContain('10.0.0.2:7001');
 	});
 
-	it('drops the row of a node that has been gone for long, and no other', async () => {
-		const {roster, store, clock, gossip, addRow} = createWorld();
+	it('removes the row of a node that has been absent for long, and no other', async () => {
+		const {roster, store, clock, gossip, addRow} = createFixture();
 		gossip.directory.merge(createLocalMember('10.0.0.2:7001', 1, place));
 		await addRow('10.0.0.2:7001');
 		await addRow('10.0.0.3:7001');
@@ -236,10 +236,10 @@
 		]);
 	});
 
-	it('restores its own row', async () => {
-		const {roster, store, play} = createWorld();
+	it('restores its own missing row', async () => {
+		const {roster, store, advance} = createFixture();
 		void roster.enroll();
-		await play(100);
+		await advance(100);
 		store.rows.clear();
 		await roster.audit();
 		expect(store.rows.has('members/10.0.0.1:7001')).toBe(true);
--- a/src/control/configuration-feed.ts
+++ b/src/control/configuration-feed.ts
@@ -19,25 +19,24 @@
 import {pause} from '../util/index.js';
 import {ContentFetcher} from './content-fetcher.js';
 
-/** A configuration as operators wrote it. */
+/** A configuration parsed from the row that operators write. */
 export interface WrittenConfiguration {
 	readonly revision: number;
 	readonly declaration: Declaration;
 }
 
-/** Where operators write configurations. */
+/** Row of the store in which operators write the configuration, and its parser. */
 export interface ConfigurationSource {
 	readonly table: string;
 	readonly key: string;
 	/**
 	 * @param text - value of the row.
 	 * @returns the configuration.
-	 * @throws Error that says what is wrong with it.
+	 * @throws Error when the text is not a valid configuration.
 	 */
 	parse(text: string): WrittenConfiguration;
 }
 
-/** What a feed is made of. */
 export interface ConfigurationFeedDependencies {
 	readonly clock: Clock;
 	readonly random: Random;
@@ -47,85 +46,85 @@
 	readonly hub: LinkHub;
 	readonly store: RowFeed;
 	readonly source: ConfigurationSource;
-	/** @returns whether this node follows the store itself. */
+	/** @returns whether this node reads the store for its zone. */
 	isReader(): boolean;
 }
 
-/** Longest wait for a change; a connection that went silent is found out a second later. */
-const feedWait: Millis = 12 * second;
-/** Bounds of the pause after a failure, so that a store that is back is found soon. */
-const firstRetry: Millis = 100;
-const longestRetry: Millis = 800;
-/** How often a node that leaves the reading to others looks whether it has become a reader. */
+/** Longest wait for a change. The store client detects a silent connection one second later. */
+const longPollTimeout: Millis = 12 * second;
+/** Bounds of the retry delay; short, so that the recovery of the store is detected soon. */
+const initialRetryDelay: Millis = 100;
+const maxRetryDelay: Millis = 800;
+/** Interval at which a node that is not a reader checks whether it has become one. */
 const readerCheckPeriod: Millis = 400;
-/** How soon content that could not be had is looked for again. */
+/** Delay before content that could not be fetched is requested again. */
 const refetchPeriod: Millis = 200;
-const pushFanOut = 4;
+const broadcastFanOut = 4;
 
 /**
- * Follows the configuration that operators write to the store. What the store has acknowledged is
- * accepted; the node takes it into force as soon as it reads it, or hears of it from a peer.
+ * Follows the configuration that operators write to the store. A revision that the store has acknowledged
+ * is accepted; the node puts it in force as soon as it reads it from the store or fetches it from a peer.
  */
 export class ConfigurationFeed {
 	private readonly fetcher: ContentFetcher;
 	private position: number | undefined;
-	private retry = firstRetry;
-	private lastTeller: string | undefined;
+	private retryDelay = initialRetryDelay;
+	private lastReporter: string | undefined;
 	private isReachable = true;
 	private isStopped = false;
 	private isFollowing = false;
 	private isRefetching = false;
-	private undoReaderCheck: Undo | undefined;
+	private cancelReaderCheck: Undo | undefined;
 
-	constructor(private readonly parts: ConfigurationFeedDependencies) {
+	constructor(private readonly deps: ConfigurationFeedDependencies) {
 		this.fetcher = new ContentFetcher({
-			...parts,
+			...deps,
 			readFromStore: async () => undefined,
 			contentAdded: () => undefined,
 		});
 	}
 
-	/** Whether the store answered last time. */
+	/** Whether the last request to the store succeeded. */
 	get isStoreUp(): boolean {
 		return this.isReachable;
 	}
 
-	/** Starts following. */
+	/** Starts following the store. */
 	start(): void {
 		this.followIfNeeded();
-		this.undoReaderCheck = this.parts.clock.repeat(readerCheckPeriod, () => {
+		this.cancelReaderCheck = this.deps.clock.repeat(readerCheckPeriod, () => {
 			this.followIfNeeded();
 		});
 	}
 
-	/** Stops following. */
+	/** Stops following the store. */
 	stop(): void {
 		this.isStopped = true;
-		this.undoReaderCheck?.();
+		this.cancelReaderCheck?.();
 	}
 
 	/**
-	 * Hears what a peer knows.
-	 * @param news - its newest revisions.
+	 * Merges the revisions that a peer knows; broadcasts and fetches those that are new to this node.
+	 * @param known - the newest revisions known to the peer.
 	 * @param from - id of the peer.
 	 */
-	handleKnownRevisions(news: KnownRevisions, from: string): void {
-		if (this.parts.revisions.merge(news)) {
-			this.lastTeller = from;
-			this.parts.gossip.broadcastUpdates(pushFanOut);
+	handleKnownRevisions(known: KnownRevisions, from: string): void {
+		if (this.deps.revisions.merge(known)) {
+			this.lastReporter = from;
+			this.deps.gossip.broadcastUpdates(broadcastFanOut);
 			void this.fetchMissing();
 		}
 	}
 
 	private get isNeeded(): boolean {
-		const {revisions: keeper, isReader} = this.parts;
-		return !this.isStopped && (keeper.inForce === undefined || isReader());
+		const {revisions, isReader} = this.deps;
+		return !this.isStopped && (revisions.inForce === undefined || isReader());
 	}
 
 	private async fetchMissing(): Promise<void> {
-		const {clock, revisions: keeper} = this.parts;
-		await this.fetcher.fetchMissing(this.lastTeller);
-		if (keeper.missing().length > 0 && !this.isRefetching && !this.isStopped) {
+		const {clock, revisions} = this.deps;
+		await this.fetcher.fetchMissing(this.lastReporter);
+		if (revisions.missing().length > 0 && !this.isRefetching && !this.isStopped) {
 			this.isRefetching = true;
 			clock.after(refetchPeriod, () => {
 				this.isRefetching = false;
@@ -143,11 +142,11 @@
 
 	private async follow(): Promise<void> {
 		while (this.isNeeded) {
-			// Each page starts where the last one ended.
+			// Sequential, as each page starts at the position where the last one ended.
 			// eslint-disable-next-line no-await-in-loop
 			const delay = await this.readPage();
 			if (delay > 0) {
-				await pause(this.parts.clock, delay); // eslint-disable-line no-await-in-loop
+				await pause(this.deps.clock, delay); // eslint-disable-line no-await-in-loop
 			}
 		}
 
@@ -155,34 +154,34 @@
 	}
 
 	private async readPage(): Promise<Millis> {
-		const {store, source} = this.parts;
+		const {store, source} = this.deps;
 		try {
 			const page =
 				this.position === undefined
 					? await store.snapshot(source.table)
-					: await store.changes(source.table, this.position, feedWait);
+					: await store.changes(source.table, this.position, longPollTimeout);
 			this.position = page.position;
-			this.noteReachable();
+			this.recordSuccess();
 			for (const change of page.changes) {
-				this.take(change);
+				this.applyChange(change);
 			}
 
 			return 0;
 		} catch (err) {
-			return this.noteFailure(err);
+			return this.recordFailure(err);
 		}
 	}
 
-	private noteReachable(): void {
-		this.retry = firstRetry;
+	private recordSuccess(): void {
+		this.retryDelay = initialRetryDelay;
 		if (!this.isReachable) {
 			this.isReachable = true;
-			this.parts.logger.log(logEvents.feedRegained, {position: this.position});
+			this.deps.logger.log(logEvents.feedRegained, {position: this.position});
 		}
 	}
 
-	private noteFailure(err: unknown): Millis {
-		const {logger, random, revisions: keeper} = this.parts;
+	private recordFailure(err: unknown): Millis {
+		const {logger, random, revisions} = this.deps;
 		if (err instanceof HistoryLostError) {
 			logger.log(logEvents.feedHistoryLost, {position: this.position});
 			this.position = undefined;
@@ -195,17 +194,17 @@
 
 		if (this.isReachable) {
 			this.isReachable = false;
-			const revision = keeper.inForce?.revision;
+			const revision = revisions.inForce?.revision;
 			logger.log(logEvents.feedLost, {error: String(err), position: this.position, revision});
 		}
 
-		const delay = this.retry * (0.5 + random.next());
-		this.retry = Math.min(longestRetry, this.retry * 2);
+		const delay = this.retryDelay * (0.5 + random.next());
+		this.retryDelay = Math.min(maxRetryDelay, this.retryDelay * 2);
 		return delay;
 	}
 
-	private take({key, value}: RowChange): void {
-		const {source, revisions: keeper, gossip, logger} = this.parts;
+	private applyChange({key, value}: RowChange): void {
+		const {source, revisions, gossip, logger} = this.deps;
 		if (key !== source.key || value === undefined) {
 			return;
 		}
@@ -221,14 +220,17 @@
 		const content = serializeDeclaration(written.declaration);
 		const hash = hashContent(content);
 		const {revision} = written;
-		const news = {accepted: revision, acceptedHash: hash, staged: 0, stagedHash: ''};
-		if (revision <= keeper.known.accepted && keeper.heldRevision >= keeper.known.accepted) {
+		const known = {accepted: revision, acceptedHash: hash, staged: 0, stagedHash: ''};
+		if (
+			revision <= revisions.known.accepted &&
+			revisions.heldRevision >= revisions.known.accepted
+		) {
 			return;
 		}
 
-		this.handleKnownRevisions(news, gossip.localMember.id);
-		if (keeper.missing().includes(hash)) {
-			keeper.addContent(hash, content);
+		this.handleKnownRevisions(known, gossip.localMember.id);
+		if (revisions.missing().includes(hash)) {
+			revisions.addContent(hash, content);
 		}
 	}
 }
--- a/src/control/content-fetcher.ts
+++ b/src/control/content-fetcher.ts
@@ -4,7 +4,6 @@
 import {sample, type Random} from '../random/index.js';
 import {logEvents, type Logger} from '../telemetry/index.js';
 
-/** What a fetcher is made of. */
 export interface ContentFetcherDependencies {
 	readonly random: Random;
 	readonly logger: Logger;
@@ -12,43 +11,44 @@
 	readonly gossip: Gossip;
 	readonly hub: LinkHub;
 	/**
-	 * Reads a content from the store, where this node may do so.
+	 * Reads a content from the store, if this node may read the store.
 	 * @param hash - hash of the content.
-	 * @returns the content; undefined when it is not to be had there.
+	 * @returns the content; undefined when it is not available there.
 	 */
 	readFromStore(hash: string): Promise<string | undefined>;
-	/** A content has come that was missing. */
+	/** Called when a missing content was added. */
 	contentAdded(): void;
 }
 
-/** Members of the region that are asked for a content, one after the other. */
-const fetchPeers = 3;
+/** Randomly chosen members of the own region that are queried for a content, one after the other. */
+const sampledRegionPeers = 3;
 
-/** Brings the contents of configuration revisions that this node has heard of and does not hold. */
+/** Fetches the contents of configuration revisions that this node knows of but does not have. */
 export class ContentFetcher {
 	private readonly fetching = new Set<string>();
 
-	constructor(private readonly parts: ContentFetcherDependencies) {}
+	constructor(private readonly deps: ContentFetcherDependencies) {}
 
 	/**
-	 * Fetches what is missing.
-	 * @param teller - who told of it, and so is likely to hold it.
+	 * Fetches all missing contents.
+	 * @param reporter - id of the peer that reported the revision, and so is likely to have the content;
+	 * queried first.
 	 */
-	async fetchMissing(teller: string | undefined): Promise<void> {
-		const missing = this.parts.revisions.missing().filter((hash) => !this.fetching.has(hash));
-		await Promise.all(missing.map(async (hash) => this.fetch(hash, teller)));
+	async fetchMissing(reporter: string | undefined): Promise<void> {
+		const missing = this.deps.revisions.missing().filter((hash) => !this.fetching.has(hash));
+		await Promise.all(missing.map(async (hash) => this.fetch(hash, reporter)));
 	}
 
-	private async fetch(hash: string, teller: string | undefined): Promise<void> {
-		const {revisions: keeper, logger} = this.parts;
+	private async fetch(hash: string, reporter: string | undefined): Promise<void> {
+		const {revisions, logger} = this.deps;
 		this.fetching.add(hash);
 		try {
 			const content =
-				(await this.parts.readFromStore(hash)) ?? (await this.fetchFromPeers(hash, teller));
+				(await this.deps.readFromStore(hash)) ?? (await this.fetchFromPeers(hash, reporter));
 			if (content !== undefined) {
-				keeper.addContent(hash, content);
-				logger.log(logEvents.revisionHeld, {hash, teller});
-				this.parts.contentAdded();
+				revisions.addContent(hash, content);
+				logger.log(logEvents.revisionHeld, {hash, teller: reporter});
+				this.deps.contentAdded();
 			}
 		} catch (err) {
 			logger.log(logEvents.revisionRejected, {hash, error: String(err)});
@@ -59,16 +59,16 @@
 
 	private async fetchFromPeers(
 		hash: string,
-		teller: string | undefined,
+		reporter: string | undefined,
 	): Promise<string | undefined> {
-		const {gossip, hub} = this.parts;
+		const {gossip, hub} = this.deps;
 		const self = gossip.localMember;
-		for (const id of this.sources(teller)) {
+		for (const id of this.candidatePeers(reporter)) {
 			if (id === self.id) {
 				continue;
 			}
 
-			// One after the other, as the first that holds it is enough.
+			// Sequential, as one copy is enough.
 			const session = await hub.connect(id); // eslint-disable-line no-await-in-loop
 			const content = await session?.fetchContent(hash); // eslint-disable-line no-await-in-loop
 			if (content !== undefined) {
@@ -79,18 +79,21 @@
 		return undefined;
 	}
 
-	private sources(teller: string | undefined): string[] {
-		const {gossip, random} = this.parts;
+	private candidatePeers(reporter: string | undefined): string[] {
+		const {gossip, random} = this.deps;
 		const self = gossip.localMember;
-		const near: string[] = [];
-		const far: string[] = [];
+		const sameRegion: string[] = [];
+		const otherRegions: string[] = [];
 		for (const member of gossip.directory.all()) {
 			if (isPresent(member)) {
-				(member.region === self.region ? near : far).push(member.id);
+				(member.region === self.region ? sameRegion : otherRegions).push(member.id);
 			}
 		}
 
-		const drawn = [...sample(near, fetchPeers, random), ...sample(far, 1, random)];
-		return [...new Set([...(teller === undefined ? [] : [teller]), ...drawn])];
+		const sampled = [
+			...sample(sameRegion, sampledRegionPeers, random),
+			...sample(otherRegions, 1, random),
+		];
+		return [...new Set([...(reporter === undefined ? [] : [reporter]), ...sampled])];
 	}
 }
--- a/src/control/declaration-store.ts
+++ b/src/control/declaration-store.ts
@@ -20,28 +20,28 @@
 	zonePrefix,
 } from './store-keys.js';
 
-/** The head row with what is needed to replace it. */
+/** The head row with the etag needed to replace it. */
 export interface HeadRow {
 	readonly head: HeadRecord;
-	/** Undefined while there is no row. */
+	/** Undefined when the row does not exist. */
 	readonly etag: string | undefined;
 }
 
-/** What became of an attempt to replace the head. */
+/** Result of replacing the head. */
 export enum HeadWriteResult {
 	Written = 'written',
-	/** Somebody else was first. */
+	/** Another writer has changed the head since it was read. */
 	Conflict = 'conflict',
 }
 
-const maxTries = 5;
+const maxAttempts = 5;
 
 async function retryUnavailable<T>(work: () => Promise<T>, pause: () => Promise<void>): Promise<T> {
-	for (let tries = 1; ; tries++) {
+	for (let attempt = 1; ; attempt++) {
 		try {
 			return await work(); // eslint-disable-line no-await-in-loop
 		} catch (err) {
-			if (!(err instanceof StoreUnavailableError) || tries >= maxTries) {
+			if (!(err instanceof StoreUnavailableError) || attempt >= maxAttempts) {
 				throw err;
 			}
 
@@ -50,23 +50,23 @@
 	}
 }
 
-/** Reads and writes configuration revisions in the platform's store. */
+/** Stores configuration revisions in the platform's store. */
 export class DeclarationStore {
 	constructor(private readonly store: TableService & ObjectStore) {}
 
-	/** @returns the head as it stands. */
+	/** @returns the current head. */
 	async readHead(): Promise<HeadRow> {
 		const row = await this.store.read(headKey);
 		return {head: parseHead(row?.value), etag: row?.etag};
 	}
 
 	/**
-	 * Replaces the head if it still is the one that was read. An answer that was lost is resolved by
-	 * reading back.
+	 * Replaces the head if it has not changed since it was read. When the answer to the write was lost, a
+	 * retry reads the head and compares it to find out whether the write was applied.
 	 * @param before - the head as it was read.
-	 * @param after - the head as it shall be.
-	 * @param pause - waits between two tries.
-	 * @returns whether the write took effect.
+	 * @param after - the new head.
+	 * @param pause - waits between two attempts.
+	 * @returns whether the head was replaced.
 	 */
 	async replaceHead(
 		before: HeadRow,
@@ -78,10 +78,10 @@
 	}
 
 	/**
-	 * Writes a content; writing it again does no harm, as its name is its hash.
+	 * Writes a content. Idempotent, as the object is named by its hash.
 	 * @param hash - hash of a content.
 	 * @param content - the content.
-	 * @param pause - waits between two tries.
+	 * @param pause - waits between two attempts.
 	 */
 	async putContent(hash: string, content: string, pause: () => Promise<void>): Promise<void> {
 		await retryUnavailable(async () => this.store.put(contentName(hash), content), pause);
@@ -96,7 +96,7 @@
 	}
 
 	/**
-	 * Notes that every live member of a zone holds a revision.
+	 * Records that every live member of a zone holds a revision.
 	 * @param revision - the staged revision.
 	 * @param zone - name of the zone.
 	 */
@@ -107,7 +107,7 @@
 
 	/**
 	 * @param revision - the staged revision.
-	 * @returns zones in use that have not acknowledged it.
+	 * @returns names of zones in use that have not acknowledged it.
 	 */
 	async unacknowledgedZones(revision: number): Promise<string[]> {
 		const prefix = ackPrefix(revision);
@@ -121,7 +121,7 @@
 	/**
 	 * Accepts a staged revision that all zones have acknowledged.
 	 * @param before - the head as it was read.
-	 * @param pause - waits between two tries.
+	 * @param pause - waits between two attempts.
 	 */
 	async acceptStaged(before: HeadRow, pause: () => Promise<void>): Promise<HeadWriteResult> {
 		const {staged} = before.head;
@@ -137,13 +137,13 @@
 	/**
 	 * Withdraws the staged revision.
 	 * @param before - the head as it was read.
-	 * @param pause - waits between two tries.
+	 * @param pause - waits between two attempts.
 	 */
 	async withdrawStaged(before: HeadRow, pause: () => Promise<void>): Promise<HeadWriteResult> {
 		return this.replaceHead(before, withdraw(before.head), pause);
 	}
 
-	/** @returns accepted revisions, the oldest first. */
+	/** @returns the accepted revisions, oldest first. */
 	async history(): Promise<RevisionRecord[]> {
 		const rows = await this.store.list(historyPrefix);
 		// The rows are written by this class only.
@@ -151,7 +151,7 @@
 	}
 
 	/**
-	 * Notes that a zone is in use and where nodes of it can be reached.
+	 * Records that a zone is in use, and addresses of its nodes.
 	 * @param zone - name of the zone.
 	 * @param seeds - addresses of nodes.
 	 */
@@ -161,7 +161,7 @@
 	}
 
 	/**
-	 * Notes that a zone is no longer in use.
+	 * Records that a zone is no longer in use.
 	 * @param zone - name of the zone.
 	 */
 	async retireZone(zone: string): Promise<void> {
--- a/src/control/readers.ts
+++ b/src/control/readers.ts
@@ -4,12 +4,12 @@
 import {zoneName} from './store-keys.js';
 
 const readersPerZone = 2;
-/** A node hears of others about five times a second; one that hears nothing for so long is cut off. */
-const isolationTime: Millis = 1200;
+/** A node receives gossip about five times a second; after this time without any it counts as isolated. */
+const isolationTimeout: Millis = 1200;
 
 /**
- * The nodes of a zone that follow the platform's store for the others. Each node derives them from the
- * membership as it knows it; two readers too many do no harm.
+ * Selects the nodes that read the platform's store on behalf of their zone, by rendezvous hashing over the
+ * local membership view. When views differ, the zone has more readers for a while, which is harmless.
  * @param gossip - the membership.
  * @returns ids of the readers of the node's own zone.
  */
@@ -17,8 +17,8 @@
 	const {directory, localMember: account} = gossip;
 	const ids: string[] = [];
 	for (const member of directory.all()) {
-		const isThere = isPresent(member) && member.liveness === Liveness.Alive;
-		if (isThere && distanceBetween(account, member) === Distance.SameZone) {
+		const isAvailable = isPresent(member) && member.liveness === Liveness.Alive;
+		if (isAvailable && distanceBetween(account, member) === Distance.SameZone) {
 			ids.push(member.id);
 		}
 	}
@@ -28,10 +28,10 @@
 
 /**
  * @param gossip - the membership.
- * @param clock - the time.
- * @returns whether the node itself must follow the store: as a reader, or as it hears of nobody.
+ * @param clock - clock of the node.
+ * @returns whether the node must read the store itself: as a reader of its zone, or because it is isolated.
  */
 export function mustReadStore(gossip: Gossip, clock: Pick<Clock, 'now'>): boolean {
-	const isIsolated = clock.now() - gossip.lastReceivedAt > isolationTime;
+	const isIsolated = clock.now() - gossip.lastReceivedAt > isolationTimeout;
 	return isIsolated || selectReaders(gossip).includes(gossip.localMember.id);
 }
--- a/src/control/revision-agent.ts
+++ b/src/control/revision-agent.ts
@@ -12,7 +12,6 @@
 import {zoneName} from './store-keys.js';
 import {ZoneHoldings} from './zone-holdings.js';
 
-/** What a revision agent is made of. */
 export interface RevisionAgentDependencies {
 	readonly clock: Clock;
 	readonly random: Random;
@@ -26,102 +25,107 @@
 
 const pollPeriod: Millis = 400;
 const pendingPollPeriod: Millis = 150;
-const reportPeriod: Millis = second;
-const zonePeriod: Millis = 30 * second;
-const fetchPeers = 3;
-const pushFanOut = 4;
+const heldReportPeriod: Millis = second;
+const zoneRegistrationPeriod: Millis = 30 * second;
+const requiredReporters = 3;
+const broadcastFanOut = 4;
 
 /**
- * Brings configuration revisions to this node and its zone. A few nodes of each zone read the store
- * for the others; which ones, follows from the membership. Two readers too many do no harm.
+ * Distributes configuration revisions to this node and its zone. A few nodes of each zone read the store
+ * for the others; they are selected from the membership (see {@link selectReaders}). Extra readers are
+ * harmless.
  */
 export class RevisionAgent {
 	private readonly holdings = new ZoneHoldings();
 	private readonly fetcher: ContentFetcher;
-	private lastTeller: string | undefined;
-	private nextReport = 0;
-	private nextZone = 0;
-	private acknowledged = 0;
+	private lastReporter: string | undefined;
+	private nextReportAt = 0;
+	private nextZoneRegistrationAt = 0;
+	private acknowledgedRevision = 0;
 	private hasReadStore = false;
-	private readonly tellers = new Set<string>();
+	private readonly reporters = new Set<string>();
 	private isStopped = false;
 
-	constructor(private readonly parts: RevisionAgentDependencies) {
+	constructor(private readonly deps: RevisionAgentDependencies) {
 		this.fetcher = new ContentFetcher({
-			...parts,
+			...deps,
 			readFromStore: async (hash) => this.fetchFromStore(hash),
 			contentAdded: () => {
-				this.nextReport = 0;
+				this.nextReportAt = 0;
 				this.reportHeld();
 			},
 		});
 	}
 
-	/** Whether the node can know that no higher revision was accepted before it started. */
+	/**
+	 * Whether the node has read the store or received the revisions of enough peers, so that it cannot
+	 * miss a revision accepted before its start.
+	 */
 	get isCaughtUp(): boolean {
-		const {gossip, revisions: keeper} = this.parts;
+		const {gossip, revisions} = this.deps;
 		const others = gossip.directory.countPresent() - 1;
-		const enoughTellers = this.tellers.size >= Math.min(fetchPeers, Math.max(1, others));
-		return keeper.inForce !== undefined && (this.hasReadStore || enoughTellers);
+		const hasEnoughReporters =
+			this.reporters.size >= Math.min(requiredReporters, Math.max(1, others));
+		return revisions.inForce !== undefined && (this.hasReadStore || hasEnoughReporters);
 	}
 
-	/** Starts reading. */
+	/** Starts polling the store and reporting held revisions. */
 	start(): void {
 		void this.poll();
-		this.parts.clock.repeat(pendingPollPeriod, () => {
+		this.deps.clock.repeat(pendingPollPeriod, () => {
 			this.reportHeld();
 			void this.fetchMissing();
 		});
 	}
 
-	/** Stops reading. */
+	/** Stops polling the store. */
 	stop(): void {
 		this.isStopped = true;
 	}
 
 	/**
-	 * Hears what a peer knows.
-	 * @param news - its newest revisions.
+	 * Merges the revisions that a peer knows; broadcasts and fetches those that are new to this node.
+	 * @param known - the newest revisions known to the peer.
 	 * @param from - id of the peer.
 	 */
-	handleKnownRevisions(news: KnownRevisions, from: string): void {
-		if (news.accepted > 0) {
-			this.tellers.add(from);
+	handleKnownRevisions(known: KnownRevisions, from: string): void {
+		if (known.accepted > 0) {
+			this.reporters.add(from);
 		}
 
-		if (this.parts.revisions.merge(news)) {
-			this.lastTeller = from;
-			this.nextReport = 0;
-			this.parts.gossip.broadcastUpdates(pushFanOut);
+		if (this.deps.revisions.merge(known)) {
+			this.lastReporter = from;
+			this.nextReportAt = 0;
+			this.deps.gossip.broadcastUpdates(broadcastFanOut);
 			void this.fetchMissing();
 		}
 	}
 
 	/**
-	 * @param held - which revision a member of the zone holds.
+	 * @param held - report of the revision that a member of the zone holds.
 	 */
 	handleHeldReport(held: HeldRevision): void {
-		this.holdings.note(held);
+		this.holdings.record(held);
 	}
 
 	/**
-	 * @param member - a member that changed.
+	 * @param member - the changed member; its report is removed when it is no longer present.
 	 */
 	handleMemberChange(member: Member): void {
 		if (!isPresent(member)) {
-			this.holdings.forget(member.id);
+			this.holdings.remove(member.id);
 		}
 	}
 
 	/** Whether this node reads the store for its zone. */
 	get isReader(): boolean {
-		return selectReaders(this.parts.gossip).includes(this.parts.gossip.localMember.id);
+		return selectReaders(this.deps.gossip).includes(this.deps.gossip.localMember.id);
 	}
 
 	private async poll(): Promise<void> {
-		const {store, clock} = this.parts;
+		const {store, clock} = this.deps;
 		let isPending = false;
-		// A node that has just started reads once, whoever the readers are.
+		// Every node reads the store once after its start, even if it is not a reader.
 		if (store && (this.isReader || !this.hasReadStore)) {
 			isPending = await this.pollStore(store);
 		}
@@ -137,7 +141,7 @@
 		try {
 			const row = await store.readHead();
 			this.hasReadStore = true;
-			this.handleKnownRevisions(newsOf(row), this.parts.gossip.localMember.id);
+			this.handleKnownRevisions(knownRevisionsOf(row), this.deps.gossip.localMember.id);
 			if (!this.isReader) {
 				return false;
 			}
@@ -146,7 +150,7 @@
 			return await this.advanceStaged(store, row);
 		} catch (err) {
 			if (!(err instanceof StoreUnavailableError)) {
-				this.parts.logger.log(logEvents.unexpectedError, {error: String(err)});
+				this.deps.logger.log(logEvents.unexpectedError, {error: String(err)});
 			}
 
 			return false;
@@ -154,11 +158,11 @@
 	}
 
 	private async registerZone(store: DeclarationStore): Promise<void> {
-		const now = this.parts.clock.now();
-		if (now >= this.nextZone) {
-			const {region, zone} = this.parts.gossip.localMember;
-			await store.registerZone(zoneName(region, zone), selectReaders(this.parts.gossip));
-			this.nextZone = now + zonePeriod;
+		const now = this.deps.clock.now();
+		if (now >= this.nextZoneRegistrationAt) {
+			const {region, zone} = this.deps.gossip.localMember;
+			await store.registerZone(zoneName(region, zone), selectReaders(this.deps.gossip));
+			this.nextZoneRegistrationAt = now + zoneRegistrationPeriod;
 		}
 	}
 
@@ -169,17 +173,17 @@
 		}
 
 		await this.fetchMissing();
-		const {gossip, revisions: keeper} = this.parts;
+		const {gossip, revisions} = this.deps;
 		const self = gossip.localMember;
 		const missing = this.holdings.missing(gossip.directory, self, staged.revision);
-		const isHeld = keeper.heldRevision >= staged.revision;
+		const isHeld = revisions.heldRevision >= staged.revision;
 		const others = missing.filter((member) => member.id !== self.id);
-		if (isHeld && others.length === 0 && this.acknowledged < staged.revision) {
+		if (isHeld && others.length === 0 && this.acknowledgedRevision < staged.revision) {
 			await store.acknowledge(staged.revision, zoneName(self.region, self.zone));
-			this.acknowledged = staged.revision;
+			this.acknowledgedRevision = staged.revision;
 		}
 
-		if (this.acknowledged >= staged.revision) {
+		if (this.acknowledgedRevision >= staged.revision) {
 			await this.acceptIfAcknowledged(store, row, staged.revision);
 		}
 
@@ -191,30 +195,30 @@
 		row: HeadRow,
 		revision: number,
 	): Promise<void> {
-		const silent = await store.unacknowledgedZones(revision);
-		if (silent.length > 0) {
+		const unacknowledged = await store.unacknowledgedZones(revision);
+		if (unacknowledged.length > 0) {
 			return;
 		}
 
-		const result = await store.acceptStaged(row, async () => pause(this.parts.clock, pollPeriod));
+		const result = await store.acceptStaged(row, async () => pause(this.deps.clock, pollPeriod));
 		if (result === HeadWriteResult.Written) {
 			const head = await store.readHead();
-			this.handleKnownRevisions(newsOf(head), this.parts.gossip.localMember.id);
+			this.handleKnownRevisions(knownRevisionsOf(head), this.deps.gossip.localMember.id);
 		}
 	}
 
 	private reportHeld(): void {
-		const {gossip, revisions: keeper, clock} = this.parts;
-		const held = keeper.heldRevision;
-		const {staged, accepted} = keeper.known;
+		const {gossip, revisions, clock} = this.deps;
+		const held = revisions.heldRevision;
+		const {staged, accepted} = revisions.known;
 		const now = clock.now();
 		const isWaitedFor = staged > accepted && held >= staged;
-		if (!isWaitedFor || now < this.nextReport) {
+		if (!isWaitedFor || now < this.nextReportAt) {
 			return;
 		}
 
-		this.nextReport = now + reportPeriod;
-		for (const reader of selectReaders(this.parts.gossip)) {
+		this.nextReportAt = now + heldReportPeriod;
+		for (const reader of selectReaders(this.deps.gossip)) {
 			if (reader !== gossip.localMember.id) {
 				gossip.sendHeldRevision(reader, held);
 			}
@@ -222,12 +226,12 @@
 	}
 
 	private async fetchMissing(): Promise<void> {
-		await this.fetcher.fetchMissing(this.lastTeller);
+		await this.fetcher.fetchMissing(this.lastReporter);
 	}
 
 	private async fetchFromStore(hash: string): Promise<string | undefined> {
-		const {store} = this.parts;
-		if (!store || !(this.isReader || this.parts.revisions.inForce === undefined)) {
+		const {store} = this.deps;
+		if (!store || !(this.isReader || this.deps.revisions.inForce === undefined)) {
 			return undefined;
 		}
 
@@ -243,7 +247,7 @@
 	}
 }
 
-function newsOf(row: HeadRow): KnownRevisions {
+function knownRevisionsOf(row: HeadRow): KnownRevisions {
 	const {accepted, staged} = row.head;
 	return {
 		accepted: accepted?.revision ?? 0,
--- a/src/control/roster.ts
+++ b/src/control/roster.ts
@@ -12,154 +12,163 @@
 import {pause, rendezvous} from '../util/index.js';
 import {memberPrefix} from './store-keys.js';
 
-/** What a roster is made of. */
 export interface RosterDependencies {
 	readonly clock: Clock;
 	readonly random: Random;
 	readonly logger: Logger;
 	readonly gossip: Gossip;
 	readonly store: TableService;
-	/** Service of the own backend server; empty where it is not known beforehand. */
+	/** Service of the node's backend server; empty when it is not known in advance. */
 	readonly service: string;
-	/** Whether the whole deployment starts for the first time, so that no row is there yet. */
+	/** Whether the whole deployment starts for the first time, so that no rows exist yet. */
 	readonly isFirstStart: boolean;
 }
 
 const retryPeriod: Millis = 300;
-/** Over so long the nodes of a deployment that starts spread their reading: most are found before. */
-const firstReadSpread: Millis = 300;
-/** How often a node that has found nobody knocks again at those that it has read of. */
-const knockPeriod: Millis = 250;
-/** Bounds of the time until a node that has found nobody reads anew; it doubles. */
-const firstRereadTime: Millis = second;
-const longestRereadTime: Millis = 30 * second;
-/** How many members a node that starts introduces itself to, by distance; gossip brings the others. */
-const joined: Readonly<Record<Distance, number>> = {
+/**
+ * Jitter of the first read when a whole deployment starts; most nodes are contacted by others before
+ * it ends.
+ */
+const firstReadJitter: Millis = 300;
+/** Interval at which a node that has not joined contacts members of the rows again. */
+const joinRetryPeriod: Millis = 250;
+/** Bounds of the delay before a node that has not joined reads the rows again; doubles each time. */
+const initialRereadDelay: Millis = second;
+const maxRereadDelay: Millis = 30 * second;
+/**
+ * Number of members that a starting node sends a join to, by distance; gossip spreads its record to
+ * the others.
+ */
+const joinCounts: Readonly<Record<Distance, number>> = {
 	[Distance.SameZone]: 3,
 	[Distance.SameRegion]: 2,
 	[Distance.OtherRegion]: 1,
 };
 /**
- * How many it greets, so that calls can go to those that live before their accounts are here. All nodes
- * greet at once when the power is back, and each greeting and its answer take processor time.
+ * Number of members that a starting node adds as unconfirmed and pings, by distance, so that it can send
+ * calls to live ones before their member records arrive. Bounded because all nodes start at once after a
+ * power failure, and each ping and its ack take processor time.
  */
-const presumed: Readonly<Record<Distance, number>> = {
+const unconfirmedCounts: Readonly<Record<Distance, number>> = {
 	[Distance.SameZone]: 16,
 	[Distance.SameRegion]: 8,
 	[Distance.OtherRegion]: 4,
 };
-/** How often a node makes sure that its row is there, and looks for rows of nodes that are gone. */
+/** Interval at which a node restores its own row and, as an auditor, looks for rows of absent nodes. */
 const auditPeriod: Millis = 5 * minute;
-/** How long a member must have been gone before its row is dropped. */
-const goneTime: Millis = 5 * minute;
-/** Nodes that look for rows of nodes that are gone. */
+/** Time that a member must have been absent before its row is removed. */
+const removalDelay: Millis = 5 * minute;
+/** Number of nodes that remove rows of absent nodes. */
 const auditors = 2;
 
 /**
- * The nodes of the deployment as rows of the platform's store. A node that starts reads them, greets
- * many of their members, and introduces itself to some; gossip does the rest. Each call to the store has
- * its price, so a node that was found by others first reads nothing, and one whose row is there writes
- * nothing.
+ * Keeps a row per node of the deployment in the platform's store. A starting node reads the rows, adds many
+ * of the members as unconfirmed and sends a join to some; gossip spreads the rest. Calls to the store are
+ * paid for, so at the first start a node that other nodes have already contacted does not read, and a node
+ * whose row is up to date does not write.
  */
 export class Roster {
-	private readonly goneSince = new Map<string, Millis>();
+	private readonly absentSince = new Map<string, Millis>();
 	private readonly startedAt: Millis;
 	private isStopped = false;
 
-	constructor(private readonly parts: RosterDependencies) {
-		this.startedAt = parts.clock.now();
+	constructor(private readonly deps: RosterDependencies) {
+		this.startedAt = deps.clock.now();
 	}
 
-	/** Registers this node and joins the others; goes on until one is found. */
+	/** Registers this node and joins the deployment; retries until gossip from another node arrives. */
 	async enroll(): Promise<void> {
-		const {clock, random, isFirstStart} = this.parts;
+		const {clock, random, isFirstStart} = this.deps;
 		if (isFirstStart) {
-			await this.persist(async () => this.register(Precondition.Any));
-			await pause(clock, firstReadSpread * random.next());
+			await this.retryUntilStopped(async () => this.register(Precondition.Any));
+			await pause(clock, firstReadJitter * random.next());
 		}
 
-		let rereadTime = firstRereadTime;
+		let rereadTime = initialRereadDelay;
 		while (!this.isStopped && !this.isJoined()) {
-			const rows = await this.persist(async () => this.readAndRegister()); // eslint-disable-line no-await-in-loop
-			await this.knock(rows ?? new Map(), clock.now() + rereadTime); // eslint-disable-line no-await-in-loop
-			rereadTime = Math.min(longestRereadTime, rereadTime * 2);
+			const rows = await this.retryUntilStopped(async () => this.readAndRegister()); // eslint-disable-line no-await-in-loop
+			await this.joinRepeatedly(rows ?? new Map(), clock.now() + rereadTime); // eslint-disable-line no-await-in-loop
+			rereadTime = Math.min(maxRereadDelay, rereadTime * 2);
 		}
 	}
 
-	/** Starts keeping the rows true. */
+	/** Enrolls this node and starts the periodic audit. */
 	start(): void {
 		void this.enroll();
-		this.parts.clock.repeat(auditPeriod, () => {
+		this.deps.clock.repeat(auditPeriod, () => {
 			void this.audit();
 		});
 	}
 
-	/** Stops. */
+	/** Stops enrolling. */
 	stop(): void {
 		this.isStopped = true;
 	}
 
-	/** Restores the own row and drops the rows of nodes that have been gone for long. */
+	/**
+	 * Restores the node's own row; an auditor also removes the rows of nodes that have been absent for
+	 * long.
+	 */
 	async audit(): Promise<void> {
 		try {
 			await this.register(Precondition.Absent);
 			if (this.isAuditor()) {
-				await this.dropGone();
+				await this.removeAbsent();
 			}
 		} catch (err) {
-			this.noteFailure(err);
+			this.logFailure(err);
 		}
 	}
 
 	private isJoined(): boolean {
-		return this.parts.gossip.lastReceivedAt > this.startedAt;
+		return this.deps.gossip.lastReceivedAt > this.startedAt;
 	}
 
-	private async persist<T>(attempt: () => Promise<T>): Promise<T | undefined> {
+	private async retryUntilStopped<T>(attempt: () => Promise<T>): Promise<T | undefined> {
 		while (!this.isStopped) {
 			try {
 				return await attempt(); // eslint-disable-line no-await-in-loop
 			} catch (err) {
-				this.noteFailure(err);
-				await pause(this.parts.clock, retryPeriod); // eslint-disable-line no-await-in-loop
+				this.logFailure(err);
+				await pause(this.deps.clock, retryPeriod); // eslint-disable-line no-await-in-loop
 			}
 		}
 
 		return undefined;
 	}
 
-	// Two newcomers that read before either has written find each other when they read anew.
+	// Two new nodes that both read before either has written find each other at the next read.
 	private async readAndRegister(): Promise<Map<string, Row>> {
-		const {gossip, logger} = this.parts;
+		const {gossip, logger} = this.deps;
 		const rows = await this.read();
 		logger.log(logEvents.rosterRead, {members: rows.size});
-		this.presume(rows);
+		this.addUnconfirmed(rows);
 		if (rows.get(gossip.localMember.id)?.value !== this.ownValue()) {
-			void this.persist(async () => this.register(Precondition.Any));
+			void this.retryUntilStopped(async () => this.register(Precondition.Any));
 		}
 
 		return rows;
 	}
 
-	// Members that start at the same time may not listen yet.
-	private async knock(rows: ReadonlyMap<string, Row>, until: Millis): Promise<void> {
-		const {clock} = this.parts;
+	// Joins are repeated, as members that start at the same time may not listen yet.
+	private async joinRepeatedly(rows: ReadonlyMap<string, Row>, until: Millis): Promise<void> {
+		const {clock} = this.deps;
 		do {
-			this.introduce(rows);
-			await pause(clock, knockPeriod); // eslint-disable-line no-await-in-loop
+			this.sendJoins(rows);
+			await pause(clock, joinRetryPeriod); // eslint-disable-line no-await-in-loop
 		} while (!this.isStopped && !this.isJoined() && clock.now() < until);
 	}
 
-	private introduce(rows: ReadonlyMap<string, Row>): void {
-		const {gossip} = this.parts;
-		for (const id of this.draw(rows, joined)) {
+	private sendJoins(rows: ReadonlyMap<string, Row>): void {
+		const {gossip} = this.deps;
+		for (const id of this.sampleByDistance(rows, joinCounts)) {
 			gossip.join(id);
 		}
 	}
 
-	private presume(rows: ReadonlyMap<string, Row>): void {
-		const {gossip} = this.parts;
-		for (const id of this.draw(rows, presumed)) {
+	private addUnconfirmed(rows: ReadonlyMap<string, Row>): void {
+		const {gossip} = this.deps;
+		for (const id of this.sampleByDistance(rows, unconfirmedCounts)) {
 			const place = parsePlace(rows.get(id)!.value);
 			if (place) {
 				gossip.addUnconfirmed(id, place);
@@ -167,11 +176,11 @@
 		}
 	}
 
-	private draw(
+	private sampleByDistance(
 		rows: ReadonlyMap<string, Row>,
 		counts: Readonly<Record<Distance, number>>,
 	): string[] {
-		const {gossip, random} = this.parts;
+		const {gossip, random} = this.deps;
 		const byDistance = new Map<Distance, string[]>();
 		for (const [id, row] of rows) {
 			if (id !== gossip.localMember.id) {
@@ -184,8 +193,8 @@
 		return [...byDistance].flatMap(([distance, ids]) => sample(ids, counts[distance], random));
 	}
 
-	private noteFailure(err: unknown): void {
-		const {logger} = this.parts;
+	private logFailure(err: unknown): void {
+		const {logger} = this.deps;
 		if (err instanceof StoreUnavailableError) {
 			logger.log(logEvents.rosterUnavailable, {error: String(err)});
 		} else {
@@ -194,53 +203,53 @@
 	}
 
 	private isAuditor(): boolean {
-		const {directory, localMember: account} = this.parts.gossip;
+		const {directory, localMember: account} = this.deps.gossip;
 		const ids = [...directory.all()].filter((member) => isPresent(member)).map(({id}) => id);
 		return rendezvous('roster', ids, auditors).includes(account.id);
 	}
 
 	private async register(expect: Precondition.Any | Precondition.Absent): Promise<void> {
-		const {id} = this.parts.gossip.localMember;
+		const {id} = this.deps.gossip.localMember;
 		const value = this.ownValue();
-		await this.parts.store.write([{key: `${memberPrefix}${id}`, value, expect}]);
+		await this.deps.store.write([{key: `${memberPrefix}${id}`, value, expect}]);
 	}
 
 	private ownValue(): string {
-		const {region, zone} = this.parts.gossip.localMember;
-		return JSON.stringify({region, zone, service: this.parts.service});
+		const {region, zone} = this.deps.gossip.localMember;
+		return JSON.stringify({region, zone, service: this.deps.service});
 	}
 
 	private async read(): Promise<Map<string, Row>> {
-		const rows = await this.parts.store.list(memberPrefix);
+		const rows = await this.deps.store.list(memberPrefix);
 		return new Map(rows.map((row) => [row.key.slice(memberPrefix.length), row]));
 	}
 
-	private async dropGone(): Promise<void> {
-		const {clock, gossip, store, logger} = this.parts;
+	private async removeAbsent(): Promise<void> {
+		const {clock, gossip, store, logger} = this.deps;
 		const now = clock.now();
 		const rows = await this.read();
 		for (const [id, row] of rows) {
 			const member = gossip.directory.get(id);
 			if (member && isPresent(member)) {
-				this.goneSince.delete(id);
+				this.absentSince.delete(id);
 				continue;
 			}
 
-			const since = this.goneSince.get(id) ?? now;
-			this.goneSince.set(id, since);
-			if (now - since >= goneTime) {
+			const since = this.absentSince.get(id) ?? now;
+			this.absentSince.set(id, since);
+			if (now - since >= removalDelay) {
 				logger.log(logEvents.rosterDropped, {member: id, goneFor: Math.round(now - since)});
 				const {key, etag} = row;
-				// One after the other, as few are gone at a time.
+				// Sequential, as few nodes are absent at a time.
 				// eslint-disable-next-line no-await-in-loop
 				await store.write([{key, value: undefined, expect: Precondition.Etag, etag}]);
-				this.goneSince.delete(id);
+				this.absentSince.delete(id);
 			}
 		}
 	}
 }
 
-// A row that another writer has spoiled still names a member: it counts as one far away.
+// The id of a malformed row is still used, as a member in another region.
 function parsePlace(text: string): Pick<Member, 'region' | 'zone' | 'service'> | undefined {
 	let fields: Readonly<Record<string, unknown>>;
 	try {
--- a/src/control/store-keys.ts
+++ b/src/control/store-keys.ts
@@ -1,22 +1,20 @@
-/** Names of rows and objects in the platform's store. */
-
-/** The row that decides which revision is accepted. */
+/** Key of the row that names the accepted and the staged revision. */
 export const headKey = 'declaration/head';
 
-/** Start of the rows of accepted revisions. */
+/** Key prefix of the rows of accepted revisions. */
 export const historyPrefix = 'declaration/history/';
 
-/** Start of the rows of zones that are in use. */
+/** Key prefix of the rows of zones in use. */
 export const zonePrefix = 'zones/';
 
-/** Start of the rows that tell who took over the keys of a node. */
+/** Key prefix of the rows that name the successor that took over the keys of a node. */
 export const handoverPrefix = 'handover/';
 
 const revisionDigits = 12;
 
 /**
  * @param hash - hash of a content.
- * @returns the name of its object.
+ * @returns the name of its object in the object store.
  */
 export function contentName(hash: string): string {
 	return `declarations/${hash}`;
@@ -32,7 +30,7 @@
 
 /**
  * @param revision - a staged revision.
- * @returns the start of the rows in which zones acknowledge it.
+ * @returns the key prefix of the rows in which zones acknowledge it.
  */
 export function ackPrefix(revision: number): string {
 	return `declaration/acks/${revision}/`;
@@ -47,5 +45,5 @@
 	return `${region}/${zone}`;
 }
 
-/** Start of the rows of the nodes. */
+/** Key prefix of the roster's rows, one per node. */
 export const memberPrefix = 'members/';
--- a/src/control/zone-holdings.ts
+++ b/src/control/zone-holdings.ts
@@ -2,14 +2,14 @@
 
 type Holding = {incarnation: number; revision: number};
 
-/** What a reader knows of the revisions that the members of its zone hold. */
+/** Held revisions reported to a reader by the members of its zone. */
 export class ZoneHoldings {
 	private readonly holdings = new Map<string, Holding>();
 
 	/**
-	 * @param held - what a member says.
+	 * @param held - report of a member.
 	 */
-	note(held: HeldRevision): void {
+	record(held: HeldRevision): void {
 		const {id, incarnation} = held.sender;
 		this.holdings.set(id, {incarnation, revision: held.revision});
 	}
@@ -18,7 +18,7 @@
 	 * @param directory - all known members.
 	 * @param self - the reader.
 	 * @param revision - the staged revision.
-	 * @returns live members of the zone that are not known to hold the revision.
+	 * @returns present members of the zone that have not reported the revision as held.
 	 */
 	missing(directory: Directory, self: Member, revision: number): Member[] {
 		const missing: Member[] = [];
@@ -33,9 +33,9 @@
 	}
 
 	/**
-	 * @param id - a member that is gone.
+	 * @param id - id of a member that is no longer present.
 	 */
-	forget(id: string): void {
+	remove(id: string): void {
 		this.holdings.delete(id);
 	}
 
