--- a/src/store/circuit-breaker.ts
+++ b/src/store/circuit-breaker.ts
@@ -2,13 +2,16 @@
 import type {Random} from '../random/index.js';
 
 const failuresToOpen = 3;
-const firstPause: Millis = second / 2;
-const longestPause: Millis = 5 * second;
+const initialPause: Millis = second / 2;
+const maxPause: Millis = 5 * second;
 
-/** Keeps a node from asking a store again and again that does not answer. */
+/**
+ * Circuit breaker that limits requests to a store that does not answer; retries after an exponential
+ * backoff.
+ */
 export class CircuitBreaker {
 	private failures = 0;
-	private pause = firstPause;
+	private pause = initialPause;
 	private openUntil = 0;
 
 	constructor(
@@ -16,34 +19,34 @@
 		private readonly random: Random,
 	) {}
 
-	/** Whether the store has not answered of late. */
+	/** Whether at least `failuresToOpen` requests in a row have failed. */
 	get isOpen(): boolean {
 		return this.failures >= failuresToOpen;
 	}
 
-	/** @returns whether the store may be asked now. */
-	mayAsk(): boolean {
+	/** @returns whether a request may be sent now. */
+	allowsRequest(): boolean {
 		return !this.isOpen || this.clock.now() >= this.openUntil;
 	}
 
-	/** @returns whether the store had been taken for down. */
-	noteSuccess(): boolean {
+	/** @returns whether the breaker was open and has closed. */
+	recordSuccess(): boolean {
 		const wasOpen = this.isOpen;
 		this.failures = 0;
-		this.pause = firstPause;
+		this.pause = initialPause;
 		return wasOpen;
 	}
 
-	/** @returns whether the store is taken for down from now on. */
-	noteFailure(): boolean {
+	/** @returns whether the breaker has opened with this failure. */
+	recordFailure(): boolean {
 		this.failures += 1;
 		if (!this.isOpen) {
 			return false;
 		}
 
-		// Jitter keeps the nodes from coming back together.
+		// Jitter keeps the nodes from retrying at the same time.
 		this.openUntil = this.clock.now() + this.pause * (0.5 + this.random.next());
-		this.pause = Math.min(longestPause, this.pause * 2);
+		this.pause = Math.min(maxPause, this.pause * 2);
 		return this.failures === failuresToOpen;
 	}
 }
--- a/src/store/guarded-store.ts
+++ b/src/store/guarded-store.ts
@@ -11,7 +11,6 @@
 	type WriteResult,
 } from './platform-store.js';
 
-/** What a guarded store is made of. */
 export interface GuardedStoreDependencies {
 	readonly store: TableService & ObjectStore;
 	readonly clock: Clock;
@@ -19,58 +18,61 @@
 	readonly logger: Logger;
 }
 
-/** Refuses at once while the store does not answer, and tells when it is lost and regained. */
+/**
+ * Rejects requests at once while the circuit breaker of the store is open, and logs when it opens and
+ * closes.
+ */
 export class GuardedStore implements TableService, ObjectStore {
 	private readonly breaker: CircuitBreaker;
 
-	constructor(private readonly parts: GuardedStoreDependencies) {
-		this.breaker = new CircuitBreaker(parts.clock, parts.random);
+	constructor(private readonly deps: GuardedStoreDependencies) {
+		this.breaker = new CircuitBreaker(deps.clock, deps.random);
 	}
 
-	/** Whether the store has answered of late. */
+	/** Whether the circuit breaker is closed. */
 	get isUp(): boolean {
 		return !this.breaker.isOpen;
 	}
 
 	async write(operations: readonly WriteOperation[]): Promise<readonly WriteResult[]> {
-		return this.guard(async () => this.parts.store.write(operations));
+		return this.guard(async () => this.deps.store.write(operations));
 	}
 
 	async read(key: string): Promise<Row | undefined> {
-		return this.guard(async () => this.parts.store.read(key));
+		return this.guard(async () => this.deps.store.read(key));
 	}
 
 	async list(prefix: string): Promise<readonly Row[]> {
-		return this.guard(async () => this.parts.store.list(prefix));
+		return this.guard(async () => this.deps.store.list(prefix));
 	}
 
 	async deleteAll(prefix: string): Promise<void> {
-		return this.guard(async () => this.parts.store.deleteAll(prefix));
+		return this.guard(async () => this.deps.store.deleteAll(prefix));
 	}
 
 	async put(name: string, content: string): Promise<void> {
-		return this.guard(async () => this.parts.store.put(name, content));
+		return this.guard(async () => this.deps.store.put(name, content));
 	}
 
 	async get(name: string): Promise<string | undefined> {
-		return this.guard(async () => this.parts.store.get(name));
+		return this.guard(async () => this.deps.store.get(name));
 	}
 
 	private async guard<T>(work: () => Promise<T>): Promise<T> {
-		if (!this.breaker.mayAsk()) {
-			throw new StoreUnavailableError('the store has not answered of late');
+		if (!this.breaker.allowsRequest()) {
+			throw new StoreUnavailableError('circuit breaker open: the latest store requests failed');
 		}
 
 		try {
 			const result = await work();
-			if (this.breaker.noteSuccess()) {
-				this.parts.logger.log(logEvents.storeUp);
+			if (this.breaker.recordSuccess()) {
+				this.deps.logger.log(logEvents.storeUp);
 			}
 
 			return result;
 		} catch (err) {
-			if (err instanceof StoreUnavailableError && this.breaker.noteFailure()) {
-				this.parts.logger.log(logEvents.storeDown, {error: String(err)});
+			if (err instanceof StoreUnavailableError && this.breaker.recordFailure()) {
+				this.deps.logger.log(logEvents.storeDown, {error: String(err)});
 			}
 
 			throw err;
--- a/src/store/platform-store.ts
+++ b/src/store/platform-store.ts
@@ -24,20 +24,20 @@
 	/** The new value; undefined deletes the row. */
 	readonly value: string | undefined;
 	readonly expect: Precondition;
-	/** With {@link Precondition.Etag}. */
+	/** Required etag; with {@link Precondition.Etag} only. */
 	readonly etag?: string;
-	/** Rows that must not exist either. */
+	/** Keys of further rows that must not exist. */
 	readonly alsoAbsent?: readonly string[];
 }
 
-/** What became of one write. */
+/** Result of one write. */
 export interface WriteResult {
 	readonly isApplied: boolean;
-	/** The row that stood in the way, or the row as written. */
+	/** The row that violated the condition, or the row as written. */
 	readonly row: Row | undefined;
 }
 
-/** The store did not answer in time, or said that it cannot. Nothing is known of a write. */
+/** The store did not answer in time or reported a failure. A write may or may not have been applied. */
 export class StoreUnavailableError extends Error {
 	override name = 'StoreUnavailableError';
 }
@@ -45,7 +45,7 @@
 /** The platform's table service. */
 export interface TableService {
 	/**
-	 * Carries out writes in one transaction of the service; each has its own condition.
+	 * Executes writes in one transaction of the service; each has its own condition.
 	 * @param operations - the writes.
 	 * @returns a result for each.
 	 * @throws {@link StoreUnavailableError}
@@ -58,13 +58,13 @@
 	 */
 	read(key: string): Promise<Row | undefined>;
 	/**
-	 * @param prefix - start of the keys.
-	 * @returns the rows in order of their keys.
+	 * @param prefix - key prefix.
+	 * @returns the rows sorted by key.
 	 * @throws {@link StoreUnavailableError}
 	 */
 	list(prefix: string): Promise<readonly Row[]>;
 	/**
-	 * @param prefix - start of the keys of the rows to delete.
+	 * @param prefix - key prefix of the rows to delete.
 	 * @throws {@link StoreUnavailableError}
 	 */
 	deleteAll(prefix: string): Promise<void>;
@@ -78,30 +78,30 @@
 	readonly etag: string;
 }
 
-/** Changes of a table up to a point. */
+/** Changes of a table up to a position. */
 export interface ChangePage {
 	readonly changes: readonly RowChange[];
-	/** Where the next page begins. */
+	/** Position at which the next page starts. */
 	readonly position: number;
 }
 
-/** The store no longer has the changes after the asked position; the table is to be read anew. */
+/** The store no longer has the changes after the requested position; the table must be read again. */
 export class HistoryLostError extends Error {
 	override name = 'HistoryLostError';
 }
 
-/** Changes of the table service, pushed as they come. */
+/** Change feed of the table service, read by long polling. */
 export interface RowFeed {
 	/**
 	 * @param table - name of a table.
-	 * @returns its rows as they stand, and the position after them.
+	 * @returns its current rows and the position after them.
 	 * @throws {@link StoreUnavailableError}
 	 */
 	snapshot(table: string): Promise<ChangePage>;
 	/**
 	 * Waits for changes.
 	 * @param table - name of a table.
-	 * @param position - where the last page ended.
+	 * @param position - position of the last page.
 	 * @param wait - how long to wait for a change, in ms.
 	 * @returns the changes; none when nothing changed.
 	 * @throws {@link StoreUnavailableError}, {@link HistoryLostError}
