--- a/src/net/listen.ts
+++ b/src/net/listen.ts
@@ -1,23 +1,23 @@
 import {withResolvers} from '../util/index.js';
 
-/** What can be bound to a port: servers and sockets of Node.js. */
+/** Server or socket of Node.js that can be bound to a port. */
 interface Bindable {
 	once(event: 'error', listener: (err: Error) => void): unknown;
 }
 
 /**
  * Waits until a port is bound.
- * @param bindable - emits `error` when it cannot be bound.
- * @param bind - starts binding and calls back when it is done.
+ * @param bindable - emits `error` when the port cannot be bound.
+ * @param startBinding - starts binding and calls `done` when the port is bound.
  * @throws Error of the operating system.
  */
 export async function bindPort(
 	bindable: Bindable,
-	bind: (done: () => void) => void,
+	startBinding: (done: () => void) => void,
 ): Promise<void> {
 	const {promise, resolve} = withResolvers<Error | undefined>();
 	bindable.once('error', resolve);
-	bind(() => {
+	startBinding(() => {
 		resolve(undefined);
 	});
 	const err = await promise;
