--- a/src/operator/change-applier.ts
+++ b/src/operator/change-applier.ts
@@ -17,49 +17,55 @@
 import {StoreUnavailableError} from '../store/index.js';
 import {pause} from '../util/index.js';
 
-/** What an operator wants. */
+/** A declaration to apply, and the conditions under which to apply it. */
 export interface ChangeRequest {
 	readonly declaration: Declaration;
 	readonly author: string;
 	readonly message: string;
-	/** Revision on which the change was planned; undefined for the accepted one, whichever it is. */
+	/**
+	 * Accepted revision against which the change was planned; 0 if there was none. A different accepted
+	 * revision is a conflict. Undefined skips the check.
+	 */
 	readonly baseRevision: number | undefined;
-	/** Unique for each change. */
+	/** Unique to each change; identifies its revision in the head row and in the history. */
 	readonly changeId: string;
-	/** How long to wait until the change is accepted. */
+	/** Maximum time to wait for acceptance, in ms. */
 	readonly waitTime: Millis;
-	/** Whether to take the change back when it is not accepted in time. */
+	/** Whether to withdraw the staged revision if it is not accepted within `waitTime`. */
 	readonly isWithdrawnLate: boolean;
 }
 
-/** How an operator's change ended, as far as its program waited. */
+/** State of a change when {@link ChangeApplier.apply} returns. */
 export enum ApplyOutcome {
-	/** Every zone holds the revision, and it is in force. */
+	/** Every zone has acknowledged the revision, and it is in force. */
 	Accepted = 'accepted',
-	/** The accepted revision says the same already. */
+	/** The accepted revision already has the same content; nothing was staged. */
 	Unchanged = 'unchanged',
-	/** Somebody else was first. */
+	/** Another change is staged, or was accepted after this one was planned. */
 	Conflict = 'conflict',
-	/** Zones have not acknowledged it in time; it stays staged. */
+	/** Some zones did not acknowledge the revision in time; it stays staged. */
 	Pending = 'pending',
-	/** Zones have not acknowledged it in time; it was taken back. */
+	/** The revision was withdrawn before every zone acknowledged it. */
 	Withdrawn = 'withdrawn',
 }
 
-/** What became of a change. */
+/** Result of applying a change. */
 export interface ApplyResult {
 	readonly outcome: ApplyOutcome;
 	readonly revision: number;
 	/** Zones that have not acknowledged the revision. */
 	readonly silentZones: readonly string[];
-	/** With a conflict: what is accepted or staged now, against what is wanted. */
+	/** On a conflict: differences from the staged (else the accepted) declaration to the requested one. */
 	readonly differences: readonly PlannedChange[];
 }
 
+/** Interval between reads of the head row while waiting for acceptance. */
 const pollPeriod: Millis = 100;
+
+/** Delay before a failed write to the store is retried. */
 const retryPeriod: Millis = 500;
 
-/** Brings an operator's change into the store and waits until it is accepted. */
+/** Stages an operator's change in the platform's store and waits until it is accepted. */
 export class ChangeApplier {
 	constructor(
 		private readonly store: DeclarationStore,
@@ -67,48 +73,49 @@
 	) {}
 
 	/**
-	 * @param request - what the operator wants.
-	 * @returns what became of it.
-	 * @throws {@link StoreUnavailableError} when nothing is known of the change.
+	 * Applies a change.
+	 * @param request - the change.
+	 * @returns the outcome of the change when it was accepted or withdrawn, or when the wait time ended.
+	 * @throws {@link StoreUnavailableError} when the store is unavailable and the outcome is unknown.
 	 */
 	async apply(request: ChangeRequest): Promise<ApplyResult> {
 		const lifecycle = createActor(changeMachine).start();
 		const content = serializeDeclaration(request.declaration);
 		const hash = hashContent(content);
 		const row = await this.store.readHead();
-		const early = await this.checkBefore(request, row, hash);
-		if (early) {
-			return early;
+		const earlyResult = await this.checkPreconditions(request, row, hash);
+		if (earlyResult) {
+			return earlyResult;
 		}
 
-		const wait = async () => pause(this.clock, retryPeriod);
-		await this.store.putContent(hash, content, wait);
+		const waitBeforeRetry = async () => pause(this.clock, retryPeriod);
+		await this.store.putContent(hash, content, waitBeforeRetry);
 		const {author, message, changeId} = request;
 		const at = this.clock.wallNow();
-		const after = stage(row.head, {hash, author, message, changeId, at});
-		const written = await this.store.replaceHead(row, after, wait);
-		if (written === HeadWriteResult.Conflict) {
+		const nextHead = stage(row.head, {hash, author, message, changeId, at});
+		const writeResult = await this.store.replaceHead(row, nextHead, waitBeforeRetry);
+		if (writeResult === HeadWriteResult.Conflict) {
 			lifecycle.send({type: ChangeEvent.StageConflict});
-			return this.conflict(request);
+			return this.conflictResult(request);
 		}
 
 		lifecycle.send({type: ChangeEvent.StageWritten});
-		const revision = after.lastRevision;
-		const until = this.clock.now() + request.waitTime;
-		while (this.clock.now() < until) {
-			const event = await this.look(revision, changeId); // eslint-disable-line no-await-in-loop
+		const revision = nextHead.lastRevision;
+		const waitUntil = this.clock.now() + request.waitTime;
+		while (this.clock.now() < waitUntil) {
+			const event = await this.readLifecycleEvent(revision, changeId); // eslint-disable-line no-await-in-loop
 			if (event) {
 				lifecycle.send({type: event});
-				return resultOf(lifecycle.getSnapshot().value, revision);
+				return resultOfState(lifecycle.getSnapshot().value, revision);
 			}
 
 			await pause(this.clock, pollPeriod); // eslint-disable-line no-await-in-loop
 		}
 
-		return this.giveUp(request, revision);
+		return this.finishOnTimeout(request, revision);
 	}
 
-	private async checkBefore(
+	private async checkPreconditions(
 		request: ChangeRequest,
 		row: HeadRow,
 		hash: string,
@@ -116,8 +123,8 @@
 		const {accepted, staged} = row.head;
 		const base = request.baseRevision;
 		if (staged !== undefined || (base !== undefined && base !== (accepted?.revision ?? 0))) {
-			const isSame = staged?.hash === hash && base === accepted?.revision;
-			return isSame ? this.pending(staged.revision) : this.conflict(request);
+			const isSameChange = staged?.hash === hash && base === accepted?.revision;
+			return isSameChange ? this.pendingResult(staged.revision) : this.conflictResult(request);
 		}
 
 		if (accepted?.hash === hash) {
@@ -127,7 +134,10 @@
 		return undefined;
 	}
 
-	private async look(revision: number, changeId: string): Promise<ChangeEvent | undefined> {
+	private async readLifecycleEvent(
+		revision: number,
+		changeId: string,
+	): Promise<ChangeEvent | undefined> {
 		try {
 			const {head} = await this.store.readHead();
 			const isAccepted = (head.accepted?.revision ?? 0) >= revision;
@@ -151,9 +161,9 @@
 		return history.some((record) => record.changeId === changeId);
 	}
 
-	private async giveUp(request: ChangeRequest, revision: number): Promise<ApplyResult> {
+	private async finishOnTimeout(request: ChangeRequest, revision: number): Promise<ApplyResult> {
 		if (!request.isWithdrawnLate) {
-			return this.pending(revision);
+			return this.pendingResult(revision);
 		}
 
 		const silentZones = await this.store.unacknowledgedZones(revision);
@@ -162,28 +172,28 @@
 			await this.store.withdrawStaged(row, async () => pause(this.clock, retryPeriod));
 		}
 
-		// It may have been accepted in the meantime: the row tells.
-		const event = await this.look(revision, request.changeId);
+		// The change may have been accepted in the meantime; the head row is authoritative.
+		const event = await this.readLifecycleEvent(revision, request.changeId);
 		const isAccepted = event === ChangeEvent.AcceptSeen;
 		const outcome = isAccepted ? ApplyOutcome.Accepted : ApplyOutcome.Withdrawn;
 		return {...result(outcome, revision), silentZones: isAccepted ? [] : silentZones};
 	}
 
-	private async pending(revision: number): Promise<ApplyResult> {
+	private async pendingResult(revision: number): Promise<ApplyResult> {
 		const silentZones = await this.store.unacknowledgedZones(revision);
 		return {...result(ApplyOutcome.Pending, revision), silentZones};
 	}
 
-	private async conflict(request: ChangeRequest): Promise<ApplyResult> {
+	private async conflictResult(request: ChangeRequest): Promise<ApplyResult> {
 		const {head} = await this.store.readHead();
 		const record = head.staged ?? head.accepted;
-		const current = await this.declarationOf(record);
+		const current = await this.readDeclaration(record);
 		const differences = planChanges(current, request.declaration);
 		const revision = record?.revision ?? 0;
 		return {outcome: ApplyOutcome.Conflict, revision, silentZones: [], differences};
 	}
 
-	private async declarationOf(
+	private async readDeclaration(
 		record: RevisionRecord | undefined,
 	): Promise<Declaration | undefined> {
 		const content = record && (await this.store.getContent(record.hash));
@@ -195,7 +205,7 @@
 	return {outcome, revision, silentZones: [], differences: []};
 }
 
-function resultOf(state: ChangeState, revision: number): ApplyResult {
+function resultOfState(state: ChangeState, revision: number): ApplyResult {
 	const isAccepted = state === ChangeState.Accepted;
 	return result(isAccepted ? ApplyOutcome.Accepted : ApplyOutcome.Withdrawn, revision);
 }
--- a/src/operator/declaration-folder.ts
+++ b/src/operator/declaration-folder.ts
@@ -3,9 +3,9 @@
 import type {DeclarationFiles, SourceFile} from '../declaration/index.js';
 import {FindingsError, type Finding} from '../ini/index.js';
 
-const extension = '.ini';
+const declarationExtension = '.ini';
 
-function read(path: string, findings: Finding[]): SourceFile {
+function readFile(path: string, findings: Finding[]): SourceFile {
 	try {
 		return {name: path, text: readFileSync(path, 'utf8')};
 	} catch (err) {
@@ -15,29 +15,37 @@
 	}
 }
 
-function readAll(folder: string, findings: Finding[]): SourceFile[] {
+function readFolder(folder: string, findings: Finding[]): SourceFile[] {
 	let names: string[] = [];
 	try {
-		names = readdirSync(folder).filter((name) => name.endsWith(extension));
+		names = readdirSync(folder).filter((name) => name.endsWith(declarationExtension));
 	} catch {
 		const problem = 'is not a folder';
-		findings.push({file: folder, section: '', key: '', line: 0, problem, hint: 'create it'});
+		findings.push({
+			file: folder,
+			section: '',
+			key: '',
+			line: 0,
+			problem,
+			hint: 'create the folder',
+		});
 	}
 
-	return names.toSorted().map((name) => read(join(folder, name), findings));
+	return names.toSorted().map((name) => readFile(join(folder, name), findings));
 }
 
 /**
- * @param folder - folder with `deployment.ini`, `templates/` and `customers/`.
- * @returns the files.
- * @throws {@link FindingsError} with everything that cannot be read.
+ * Reads the declaration files of a deployment.
+ * @param folder - path of the folder with `deployment.ini`, `templates/` and `customers/`.
+ * @returns the contents of the files; those of a subfolder are sorted by name.
+ * @throws {@link FindingsError} with a finding for each file or folder that cannot be read.
  */
 export function readDeclarationFolder(folder: string): DeclarationFiles {
 	const findings: Finding[] = [];
 	const files = {
-		deployment: read(join(folder, 'deployment.ini'), findings),
-		templates: readAll(join(folder, 'templates'), findings),
-		customers: readAll(join(folder, 'customers'), findings),
+		deployment: readFile(join(folder, 'deployment.ini'), findings),
+		templates: readFolder(join(folder, 'templates'), findings),
+		customers: readFolder(join(folder, 'customers'), findings),
 	};
 	if (findings.length > 0) {
 		throw new FindingsError(findings);
