--- a/src/replay/invariants.ts
+++ b/src/replay/invariants.ts
@@ -2,38 +2,44 @@
 import {second, type Millis} from '../clock/index.js';
 import type {Books, CallerEntry} from './books.js';
 
-/** Points of the brief that must always hold. */
+/** Guarantees that must hold in every run, under any fault; the values are part of the report. */
 export enum Invariant {
-	/** When a caller is told "not run", nothing ran. */
+	/** No backend server ran a call whose copies all ended with the outcome `not-run`. */
 	NotRunIsTrue = 'not-run is true',
-	/** A request that may not be repeated runs at most once. */
+	/** A request that is not idempotent runs at most once. */
 	AtMostOnce = 'at most once',
-	/** Every caller gets the whole answer to its own request. */
+	/** Every answer is complete and belongs to the caller's own request. */
 	OwnWholeAnswer = 'own whole answer',
-	/** What a caller got an answer for was run; a book that misses runs proves nothing. */
+	/**
+	 * Every answered call is in the records of the backend servers. If these records were incomplete, the checks
+	 * that count runs would prove nothing.
+	 */
 	AnsweredRan = 'answered ran',
-	/** Every caller is told how its call ended. */
+	/** Every caller gets the outcome of its call, with a reason unless the call was answered. */
 	EveryCallIsTold = 'every call is told',
-	/** The slots of a backend server are never exceeded. */
+	/** A backend server never runs more calls at the same time than it has slots. */
 	SlotsHold = 'slots hold',
-	/** A backend server that leaves gets no new work after a few seconds. */
+	/** A backend server gets no new calls later than 3 s after its departure became known. */
 	DepartureHolds = 'departure holds',
-	/** A planned stop cuts nothing in flight. */
+	/** A process that is asked to stop exits with code 0, which means that it cut no call in flight. */
 	StopIsGraceful = 'stop is graceful',
-	/** No caller sees a revision lower than one that was seen before it sent its request. */
+	/** No answer carries a lower revision than an answer that ended at least 7 s before its request was sent. */
 	RevisionNeverReverts = 'revision never reverts',
 }
 
-/** What the checker found about one invariant. */
+/** Result of checking one invariant. */
 export interface InvariantResult {
 	readonly invariant: Invariant;
-	/** How many things were checked. */
+	/** Number of calls, backend servers, departures or processes that were checked. */
 	readonly checked: number;
-	/** What breaks it, in words. */
+	/** Description of each violation. */
 	readonly broken: readonly string[];
 }
 
+/** Time that the nodes have to stop sending calls to a departed backend server. */
 const departureLimit: Millis = 3 * second;
+
+/** Time that a revision has to reach every node. */
 const revisionLimit: Millis = 7 * second;
 
 type Check = (books: Books) => InvariantResult;
@@ -56,7 +62,8 @@
 	return copies;
 }
 
-// Copies without a key are requests of their own; what one of them ran is not known apart.
+// Copies without a key are separate requests under the same call id, and the records do not show which copy
+// ran. Therefore only calls of which every copy was reported as not run are checked.
 function checkNotRun(books: Books): InvariantResult {
 	const runs = runsByCall(books);
 	const broken: string[] = [];
@@ -66,7 +73,7 @@
 		if (isAllNotRun) {
 			checked += 1;
 			if ((runs.get(callId) ?? 0) > 0) {
-				broken.push(`${callId} was called not run and ran`);
+				broken.push(`${callId} was reported as not run, but ran`);
 			}
 		}
 	}
@@ -108,7 +115,7 @@
 		if (entry.answeredCallId !== entry.callId) {
 			broken.push(`${entry.callId} got the answer of ${entry.answeredCallId}`);
 		} else if (!entry.isWhole) {
-			broken.push(`${entry.callId} got a part of its answer as if it were whole`);
+			broken.push(`${entry.callId} got an incomplete answer that was reported as complete`);
 		}
 	}
 
@@ -122,18 +129,20 @@
 	);
 	const broken = answered
 		.filter((entry) => !runs.has(entry.callId))
-		.map((entry) => `${entry.callId} was answered and stands in no book`);
+		.map((entry) => `${entry.callId} was answered, but no backend server recorded it`);
 	return {invariant: Invariant.AnsweredRan, checked: answered.length, broken};
 }
 
-function checkTold(books: Books): InvariantResult {
+function checkOutcomes(books: Books): InvariantResult {
 	const outcomes = new Set<string>(Object.values(Outcome));
 	const broken: string[] = [];
 	for (const entry of books.callers) {
-		const isTold = outcomes.has(entry.outcome) && entry.status !== 0;
-		const isExplained = String(entry.outcome) === String(Outcome.Answered) || entry.reason !== '';
-		if (!isTold || !isExplained) {
-			broken.push(`${entry.callId} was told ${entry.outcome} ${entry.reason}`);
+		const hasOutcome = outcomes.has(entry.outcome) && entry.status !== 0;
+		const hasReason = String(entry.outcome) === String(Outcome.Answered) || entry.reason !== '';
+		if (!hasOutcome || !hasReason) {
+			broken.push(
+				`${entry.callId} ended without a valid outcome or reason: ${entry.outcome} ${entry.reason}`,
+			);
 		}
 	}
 
@@ -143,7 +152,10 @@
 function checkSlots(books: Books): InvariantResult {
 	const broken = books.peaks
 		.filter((peak) => peak.mostRunning > peak.slots)
-		.map((peak) => `${peak.backend} ran ${peak.mostRunning} at once, slots ${peak.slots}`);
+		.map(
+			(peak) =>
+				`${peak.backend} ran ${peak.mostRunning} calls at the same time with ${peak.slots} slots`,
+		);
 	return {invariant: Invariant.SlotsHold, checked: books.peaks.length, broken};
 }
 
@@ -151,10 +163,12 @@
 	const broken: string[] = [];
 	for (const {backend, knownAt, backAt = Number.POSITIVE_INFINITY} of books.departures) {
 		for (const entry of books.backends) {
-			const late = entry.startedAt - knownAt;
-			const isLate = late > departureLimit && entry.startedAt < backAt;
+			const delay = entry.startedAt - knownAt;
+			const isLate = delay > departureLimit && entry.startedAt < backAt;
 			if (entry.backend === backend && isLate) {
-				broken.push(`${backend} got ${entry.callId} ${Math.round(late)} ms after it left`);
+				broken.push(
+					`${backend} got ${entry.callId} ${Math.round(delay)} ms after its departure was known`,
+				);
 			}
 		}
 	}
@@ -165,7 +179,7 @@
 function checkStops(books: Books): InvariantResult {
 	const broken = books.stops
 		.filter((stop) => stop.exitCode !== 0)
-		.map((stop) => `${stop.name} ended with ${stop.exitCode}`);
+		.map((stop) => `${stop.name} exited with code ${stop.exitCode}`);
 	return {invariant: Invariant.StopIsGraceful, checked: books.stops.length, broken};
 }
 
@@ -186,7 +200,9 @@
 		}
 
 		if (entry.revision < highest) {
-			broken.push(`${entry.callId} ran under ${entry.revision} after ${highest} was in force`);
+			broken.push(
+				`${entry.callId} ran under revision ${entry.revision} after revision ${highest} was in force`,
+			);
 		}
 	}
 
@@ -198,7 +214,7 @@
 	checkAtMostOnce,
 	checkAnswers,
 	checkAnsweredRan,
-	checkTold,
+	checkOutcomes,
 	checkSlots,
 	checkDepartures,
 	checkStops,
@@ -206,9 +222,9 @@
 ];
 
 /**
- * Joins the callers' books with those of the backend servers.
- * @param books - the books of a run.
- * @returns a result for each invariant.
+ * Checks all invariants by comparing the callers' records with those of the backend servers.
+ * @param books - the records of a run.
+ * @returns one result per invariant.
  */
 export function checkInvariants(books: Books): InvariantResult[] {
 	return checks.map((check) => check(books));
--- a/src/replay/summary.ts
+++ b/src/replay/summary.ts
@@ -11,7 +11,7 @@
 	readonly max: number;
 }
 
-/** How many calls ended in one way. */
+/** Number of calls to a service that ended with the same outcome and reason. */
 export interface OutcomeCount {
 	readonly service: string;
 	readonly outcome: string;
@@ -20,21 +20,24 @@
 }
 
 const microsecondsPerMs = 1000;
-const highestMicroseconds = 120_000_000;
+
+/** Longer durations are counted as this one. */
+const maxDurationMicroseconds = 120_000_000;
 
 /**
+ * Computes percentiles with an HDR histogram, to 3 significant digits.
  * @param durations - durations in ms.
- * @returns their percentiles.
+ * @returns their percentiles, in ms.
  */
 export function percentilesOf(durations: readonly number[]): Percentiles {
 	const histogram = build({
 		lowestDiscernibleValue: 1,
-		highestTrackableValue: highestMicroseconds,
+		highestTrackableValue: maxDurationMicroseconds,
 		numberOfSignificantValueDigits: 3,
 	});
 	for (const duration of durations) {
 		const value = Math.max(1, Math.round(duration * microsecondsPerMs));
-		histogram.recordValue(Math.min(highestMicroseconds, value));
+		histogram.recordValue(Math.min(maxDurationMicroseconds, value));
 	}
 
 	const at = (percentile: number) => histogram.getValueAtPercentile(percentile) / microsecondsPerMs;
@@ -48,8 +51,9 @@
 }
 
 /**
- * @param entries - the callers' books.
- * @returns counts by service, outcome and reason.
+ * Counts calls by service, outcome and reason.
+ * @param entries - the callers' records.
+ * @returns the counts, sorted by service, outcome and reason.
  */
 export function countOutcomes(entries: readonly CallerEntry[]): OutcomeCount[] {
 	const counts = new Map<string, OutcomeCount>();
@@ -63,13 +67,15 @@
 }
 
 /**
- * @param entries - the callers' books.
- * @returns the share of calls that were answered in time, from 0 to 1.
+ * Computes the goodput of a run.
+ * @param entries - the callers' records.
+ * @returns the share of calls that were answered within the caller's timeout, from 0 to 1; 1 if there were
+ * no calls.
  */
 export function goodput(entries: readonly CallerEntry[]): number {
-	const good = entries.filter(
+	const answeredInTime = entries.filter(
 		(entry) =>
 			String(entry.outcome) === String(Outcome.Answered) && entry.duration <= entry.timeout,
 	);
-	return entries.length === 0 ? 1 : good.length / entries.length;
+	return entries.length === 0 ? 1 : answeredInTime.length / entries.length;
 }
--- a/src/replay/trace.ts
+++ b/src/replay/trace.ts
@@ -9,31 +9,31 @@
 
 /** Kinds of fault in a trace; the values are part of the file format. */
 export enum FaultKind {
-	/** Kills a process. */
+	/** A process is killed without warning. */
 	Kill = 'kill',
-	/** Starts a killed process again. */
+	/** A killed process is started again. */
 	Restart = 'restart',
-	/** Stops a process from being scheduled. */
+	/** A process is paused (SIGSTOP). */
 	Freeze = 'freeze',
-	/** Lets a frozen process go on. */
+	/** A frozen process is resumed (SIGCONT). */
 	Thaw = 'thaw',
-	/** Asks a process to stop gracefully. */
+	/** A process is asked to stop gracefully. */
 	Stop = 'stop',
 	/** A backend server announces that it leaves. */
 	Drain = 'drain',
-	/** A backend server becomes so many times slower. */
+	/** A backend server becomes slower by the factor `amount`. */
 	Slow = 'slow',
-	/** A backend server fails at once, or no longer does. */
+	/** A backend server fails every call at once if `amount` is above 0, and stops doing so at 0. */
 	FailFast = 'fail-fast',
-	/** The platform's store goes down. */
+	/** The platform's store becomes unavailable. */
 	StoreDown = 'store-down',
-	/** The platform's store comes back. */
+	/** The platform's store becomes available again. */
 	StoreUp = 'store-up',
-	/** The next writes of the store take effect and their answers are lost. */
+	/** The next `amount` writes to the store take effect, but their answers are lost. */
 	LoseAnswers = 'lose-answers',
-	/** A region loses the others. */
+	/** A region is cut off from all others. */
 	CutRegion = 'cut-region',
-	/** All regions reach each other again. */
+	/** All regions can reach each other again. */
 	Heal = 'heal',
 	/** An operator applies a declaration folder. */
 	Apply = 'apply',
@@ -51,24 +51,25 @@
 	readonly customer: string;
 	readonly method: string;
 	readonly path: string;
-	/** Whether the request may run more than once. */
+	/** Whether running the request more than once is harmless. */
 	readonly isIdempotent: boolean;
+	/** Idempotency key. */
 	readonly key?: string;
-	/** How long the caller waits, in ms. */
+	/** Time that the caller waits for the answer, in ms. */
 	readonly timeout: Millis;
-	/** How often the caller sends again after an answer that is not its answer. */
+	/** Maximum number of times that the caller sends the request again while the outcome is not `answered`. */
 	readonly resends: number;
 }
 
-/** Something that fails, or an operator's step. */
+/** An injected fault, or an operator's action. */
 export interface FaultEvent {
 	readonly kind: TraceEventKind.Fault;
 	/** Time since the start of the trace, in ms. */
 	readonly at: Millis;
 	readonly fault: FaultKind;
-	/** Name of a process, region or folder; empty where there is only one. */
+	/** Name of a process, region or folder; empty for kinds of fault that have no target. */
 	readonly target: string;
-	/** Size of the fault, where it has one. */
+	/** Size of the fault, for kinds of fault that have one; see {@link FaultKind}. */
 	readonly amount?: number;
 }
 
@@ -80,8 +81,8 @@
 	return typeof value === 'object' && value !== null && !Array.isArray(value);
 }
 
-/** Checks the fields of one line. */
-class LineReader {
+/** Reads the fields of one line of a trace and collects what is wrong with them. */
+class TraceLineReader {
 	readonly problems: Array<{key: string; problem: string}> = [];
 
 	constructor(private readonly fields: Readonly<Record<string, unknown>>) {}
@@ -92,7 +93,7 @@
 			return value;
 		}
 
-		this.problems.push({key, problem: 'is not a text'});
+		this.problems.push({key, problem: 'is not a string'});
 		return '';
 	}
 
@@ -102,7 +103,7 @@
 			return value;
 		}
 
-		this.problems.push({key, problem: 'is not a number from 0'});
+		this.problems.push({key, problem: 'is not a non-negative number'});
 		return 0;
 	}
 
@@ -112,7 +113,7 @@
 			return value;
 		}
 
-		this.problems.push({key, problem: 'is not true or false'});
+		this.problems.push({key, problem: 'is not a boolean'});
 		return false;
 	}
 
@@ -155,7 +156,7 @@
 		const text = this.text('fault');
 		const fault = Object.values(FaultKind).find((kind) => String(kind) === text);
 		if (!fault) {
-			this.problems.push({key: 'fault', problem: `is none of ${[...faultKinds].join(', ')}`});
+			this.problems.push({key: 'fault', problem: `is not one of ${[...faultKinds].join(', ')}`});
 			return undefined;
 		}
 
@@ -165,7 +166,7 @@
 	}
 }
 
-function parseLine(text: string): LineReader {
+function parseLine(text: string): TraceLineReader {
 	let parsed: unknown;
 	try {
 		parsed = JSON.parse(text);
@@ -173,7 +174,7 @@
 		parsed = undefined;
 	}
 
-	const reader = new LineReader(isRecord(parsed) ? parsed : {});
+	const reader = new TraceLineReader(isRecord(parsed) ? parsed : {});
 	if (!isRecord(parsed)) {
 		reader.problems.push({key: '', problem: 'is not a JSON object'});
 	}
@@ -182,10 +183,11 @@
 }
 
 /**
- * @param file - name for messages.
- * @param text - one JSON object a line.
- * @param findings - receives what is wrong.
- * @returns the events in order of time.
+ * Parses a trace. Blank lines are ignored, and lines with findings are left out of the result.
+ * @param file - file name for findings.
+ * @param text - contents of the file, one JSON object per line.
+ * @param findings - receives a finding for each field or line that is invalid.
+ * @returns the events, sorted by time.
  */
 export function parseTrace(file: string, text: string, findings: Finding[]): TraceEvent[] {
 	const events: TraceEvent[] = [];
@@ -209,8 +211,9 @@
 }
 
 /**
- * @param events - events of a trace.
- * @returns one JSON object a line.
+ * Formats a trace.
+ * @param events - events of the trace.
+ * @returns contents of a trace file, one JSON object per line.
  */
 export function formatTrace(events: readonly TraceEvent[]): string {
 	return events.map((event) => `${JSON.stringify(event)}\n`).join('');
