--- a/src/operations/operator-server.ts
+++ b/src/operations/operator-server.ts
@@ -2,45 +2,56 @@
 import {FindingsError} from '../ini/index.js';
 import {bindPort} from '../net/index.js';
 
-/** An answer to an operator. */
+/** HTTP response to a request on an {@link OperatorServer}. */
 export interface OperatorReply {
 	readonly status: number;
 	readonly contentType: string;
 	readonly body: string;
 }
 
-/** Answers one kind of request. */
+/**
+ * Handles the requests of one route.
+ * @param body - body of the request; empty if there is none.
+ * @param parameter - decoded path segment that matched `*`; empty for a route without `*`.
+ * @returns the response. A {@link FindingsError} becomes status 400 with its findings, any other error 500.
+ */
 export type OperatorHandler = (
 	body: string,
 	parameter: string,
 ) => OperatorReply | Promise<OperatorReply>;
 
+/** Larger than any request that an operator or a backend server sends. */
 const maxBodyBytes = 65_536;
 
-/** A request that is larger than any that an operator or a backend server sends. */
+/** The body of a request exceeds {@link maxBodyBytes}. */
 class BodyTooLargeError extends Error {
 	override name = 'BodyTooLargeError';
 }
 
 /**
- * @param value - what to send.
+ * Creates a JSON reply.
+ * @param value - value to serialize as the body.
  * @param status - HTTP status.
- * @returns a reply in JSON.
+ * @returns the reply.
  */
 export function jsonReply(value: unknown, status = 200): OperatorReply {
 	return {status, contentType: 'application/json', body: `${JSON.stringify(value)}\n`};
 }
 
 /**
- * @param body - what to send.
+ * Creates a plain-text reply, with the content type of the Prometheus text format.
+ * @param body - body of the reply.
  * @param status - HTTP status.
- * @returns a reply in plain text.
+ * @returns the reply.
  */
 export function textReply(body: string, status = 200): OperatorReply {
 	return {status, contentType: 'text/plain; version=0.0.4', body};
 }
 
-/** Serves operators and the backend server, on a port apart from that of the callers. */
+/**
+ * HTTP server for operators, readiness probes or the announcements of the backend server. It listens on a port of
+ * its own, separate from the callers' port.
+ */
 export class OperatorServer {
 	private readonly handlers = new Map<string, OperatorHandler>();
 	private readonly server: Server = createServer((req, res) => {
@@ -48,15 +59,17 @@
 	});
 
 	/**
-	 * @param route - method and path, as in `GET /healthz`; one step of a path may be `*`.
-	 * @param handler - answers requests.
+	 * Registers the handler of a route.
+	 * @param route - method and path, such as `GET /healthz`; one segment of the path may be `*`.
+	 * @param handler - handles the requests of the route.
 	 */
 	registerHandler(route: string, handler: OperatorHandler): void {
 		this.handlers.set(route, handler);
 	}
 
 	/**
-	 * @param address - IP number.
+	 * Starts to accept requests.
+	 * @param address - local IP address.
 	 * @param port - TCP port.
 	 */
 	async listen(address: string, port: number): Promise<void> {
@@ -65,7 +78,7 @@
 		});
 	}
 
-	/** Takes no more requests. */
+	/** Stops accepting requests and closes all connections, including those with a request in progress. */
 	close(): void {
 		this.server.close();
 		this.server.closeAllConnections();
@@ -82,13 +95,13 @@
 
 	private async reply(req: IncomingMessage): Promise<OperatorReply> {
 		const path = (req.url ?? '/').split('?', 1)[0] ?? '/';
-		const found = this.findHandler(req.method ?? 'GET', path);
-		if (!found) {
+		const match = this.findHandler(req.method ?? 'GET', path);
+		if (!match) {
 			return jsonReply({error: `no route for ${req.method} ${path}`}, 404);
 		}
 
 		try {
-			return await found.handler(await readBody(req), found.parameter);
+			return await match.handler(await readBody(req), match.parameter);
 		} catch (err) {
 			const isFinding = err instanceof FindingsError;
 			const findings = isFinding ? err.findings : undefined;
@@ -106,10 +119,10 @@
 			return {handler: exact, parameter: ''};
 		}
 
-		// One step of the path may be a parameter.
-		const steps = path.split('/');
-		for (const [i, parameter] of steps.entries()) {
-			const pattern = steps.with(i, '*').join('/');
+		// No exact match: look for a route that has `*` in place of one segment.
+		const segments = path.split('/');
+		for (const [i, parameter] of segments.entries()) {
+			const pattern = segments.with(i, '*').join('/');
 			const handler = this.handlers.get(`${method} ${pattern}`);
 			if (handler && i > 0) {
 				return {handler, parameter: decodeURIComponent(parameter)};
@@ -128,7 +141,7 @@
 		const text = String(chunk);
 		length += text.length;
 		if (length > maxBodyBytes) {
-			throw new BodyTooLargeError('the body is too large');
+			throw new BodyTooLargeError('request body exceeds the size limit');
 		}
 
 		chunks.push(text);
