--- a/src/bin/node-program.ts
+++ b/src/bin/node-program.ts
@@ -8,18 +8,21 @@
 import {ExitCode} from './exit-code.js';
 import {packageVersion} from './package-version.js';
 
-/** A node that a program runs. */
+/** The part of a node that {@link runNodeProgram} controls. */
 export interface RunnableNode {
-	/** Opens the ports and joins the others. */
+	/** Opens the ports and joins the mesh. */
 	start(): Promise<void>;
-	/** @returns whether everything in flight has ended in time. */
+	/**
+	 * Stops the node gracefully.
+	 * @returns whether all calls in flight ended within the stop timeout.
+	 */
 	stop(): Promise<boolean>;
 }
 
-/** Builds the node that a program runs. */
+/** Creates a node from its settings. */
 export type NodeFactory = (settings: NodeSettings, logger: Logger) => RunnableNode;
 
-/** How often the settings file is looked at, as it may change without a signal. */
+/** Interval at which the settings file is checked for changes, as it may change without a SIGHUP. */
 const settingsPollPeriod = 5 * second;
 
 function describeError(file: string, err: unknown): string {
@@ -30,10 +33,11 @@
 	return parseNodeSettings(file, readFileSync(file, 'utf8'));
 }
 
-// What is in force stays in force: addresses cannot change under open connections.
-function reload(file: string, known: NodeSettings, logger: Logger): void {
+// Only validates the file and reports changes, which take effect at the next start: addresses cannot change while
+// connections are open.
+function reload(file: string, current: NodeSettings, logger: Logger): void {
 	try {
-		const isChanged = JSON.stringify(readSettings(file)) !== JSON.stringify(known);
+		const isChanged = JSON.stringify(readSettings(file)) !== JSON.stringify(current);
 		logger.log(logEvents.settingsReloaded, {file, isChanged, needsRestart: isChanged});
 	} catch (err) {
 		logger.log(logEvents.settingsRejected, {file, error: describeError(file, err)});
@@ -55,7 +59,7 @@
 	process.on('unhandledRejection', (err) => {
 		logger.log(logEvents.unexpectedError, {error: String(err)});
 	});
-	// What is in memory can no longer be trusted; the node starts anew.
+	// The state in memory may be inconsistent, so the process exits and has to be started again.
 	process.on('uncaughtException', (err) => {
 		process.stderr.write(`${err.stack ?? String(err)}\n`);
 		logger.log(logEvents.unexpectedError, {error: err.stack ?? String(err)});
@@ -63,7 +67,7 @@
 	});
 	const stop = async () => {
 		const isClean = await node.stop();
-		// The programs that call this are command lines.
+		// This function runs only in command-line programs, which may exit the process.
 		// eslint-disable-next-line unicorn/no-process-exit
 		process.exit(isClean ? ExitCode.Ok : ExitCode.Forced);
 	};
@@ -81,12 +85,12 @@
 /**
  * Runs the command line of a node.
  * @param name - name of the program.
- * @param create - builds the node.
+ * @param create - creates the node.
  */
 export async function runNodeProgram(name: string, create: NodeFactory): Promise<void> {
 	const program = command({
 		name,
-		description: 'Balances calls from and to the backend server beside it.',
+		description: 'Balances calls from and to the backend server on the same VM.',
 		version: packageVersion(),
 		args: {
 			settings: option({type: string, long: 'settings', short: 's', description: 'INI file'}),
--- a/src/bin/package-version.ts
+++ b/src/bin/package-version.ts
@@ -1,6 +1,6 @@
 import {readFileSync} from 'node:fs';
 
-/** @returns the version of the product. */
+/** @returns the version in package.json; `unknown` if it has none. */
 export function packageVersion(): string {
 	const file = new URL('../../../package.json', import.meta.url);
 	const parsed: unknown = JSON.parse(readFileSync(file, 'utf8'));
--- a/src/bin/turmeric-node.ts
+++ b/src/bin/turmeric-node.ts
@@ -1,5 +1,5 @@
 #!/usr/bin/env node
-/** The node that stands beside a backend server. */
+/** Runs the node that serves as sidecar of a backend server. */
 import {PlatformStore} from '../../platform/index.js';
 import {SystemClock, TurmericNode} from '../wiring/index.js';
 import {runNodeProgram} from './node-program.js';
--- a/src/bin/turmeric-replay.ts
+++ b/src/bin/turmeric-replay.ts
@@ -1,5 +1,5 @@
 #!/usr/bin/env node
-/** Checks recorded traces, and the books of a replay against what must always hold. */
+/** Validates traces, and checks the records ("books") of a replay against the invariants. */
 import {readFileSync} from 'node:fs';
 import process from 'node:process';
 import {command, flag, positional, run, string, subcommands} from 'cmd-ts';
@@ -17,7 +17,7 @@
 import {packageVersion} from './package-version.js';
 
 const file = positional({type: string, displayName: 'FILE'});
-const json = flag({long: 'json', description: 'write JSON for programs'});
+const json = flag({long: 'json', description: 'write JSON instead of text'});
 
 function isReport(value: unknown): value is {books: Books} {
 	return typeof value === 'object' && value !== null && 'books' in value;
@@ -26,17 +26,17 @@
 function readBooks(path: string): Books {
 	const parsed: unknown = JSON.parse(readFileSync(path, 'utf8'));
 	if (!isReport(parsed)) {
-		const problem = 'holds no books of a replay';
-		const hint = 'write one with npm start -- --json FILE';
+		const problem = 'does not contain the books of a replay';
+		const hint = 'create one with npm start -- --json FILE';
 		throw new FindingsError([{file: path, section: '', key: 'books', line: 0, problem, hint}]);
 	}
 
 	return parsed.books;
 }
 
-function guard(work: () => ExitCode): void {
+function runAndReport(action: () => ExitCode): void {
 	try {
-		process.exitCode = work();
+		process.exitCode = action();
 	} catch (err) {
 		process.stderr.write(`${err instanceof Error ? err.message : String(err)}\n`);
 		process.exitCode = ExitCode.Invalid;
@@ -45,10 +45,11 @@
 
 const check = command({
 	name: 'check',
-	description: 'Checks a trace, one JSON object a line, and reports every finding with its line.',
+	description:
+		'Checks a trace, one JSON object per line, and reports every finding with its line number.',
 	args: {file},
 	handler({file: path}) {
-		guard(() => {
+		runAndReport(() => {
 			const findings: Finding[] = [];
 			const events = parseTrace(path, readFileSync(path, 'utf8'), findings);
 			if (findings.length > 0) {
@@ -64,10 +65,10 @@
 
 const verify = command({
 	name: 'verify',
-	description: 'Checks the books of a replay against what must always hold.',
+	description: 'Checks the books (records) of a replay against the invariants.',
 	args: {file, json},
 	handler({file: path, json: isJson}) {
-		guard(() => {
+		runAndReport(() => {
 			const books = readBooks(path);
 			const invariants = checkInvariants(books);
 			const latency = percentilesOf(books.callers.map((entry) => entry.duration));
@@ -85,7 +86,7 @@
 
 const program = subcommands({
 	name: 'turmeric-replay',
-	description: 'Checks traces and the books of replays.',
+	description: 'Checks traces and the books (records) of replays.',
 	version: packageVersion(),
 	cmds: {check, verify},
 });
--- a/src/bin/turmericctl.ts
+++ b/src/bin/turmericctl.ts
@@ -1,5 +1,5 @@
 #!/usr/bin/env node
-/** The operators' program. */
+/** Command line for operators: changes the declaration of a deployment and controls its nodes. */
 import {randomInt, randomUUID} from 'node:crypto';
 import {userInfo} from 'node:os';
 import process from 'node:process';
@@ -41,21 +41,22 @@
 import {ExitCode} from './exit-code.js';
 import {packageVersion} from './package-version.js';
 
-/** Arguments that cannot be used. */
+/** Invalid command-line arguments. */
 class UsageError extends Error {
 	override name = 'UsageError';
 }
 
 const clock = new SystemClock();
+/** Exclusive upper bound of the random seed. */
 const seedBound = 2 ** 31;
 const folder = positional({type: string, displayName: 'FOLDER', description: 'declaration files'});
 const storeOption = option({type: string, long: 'store', description: 'IP:port of the store'});
 const nodeArgument = positional({
 	type: string,
 	displayName: 'NODE',
-	description: 'IP:port for operators',
+	description: 'IP:port of the operator port of a node',
 });
-const json = flag({long: 'json', description: 'write JSON for programs'});
+const json = flag({long: 'json', description: 'write JSON instead of text'});
 
 function write(isJson: boolean, value: unknown, lines: readonly string[]): void {
 	const text = isJson ? JSON.stringify(value) : lines.join('\n');
@@ -74,11 +75,11 @@
 	return new DeclarationStore(new GuardedStore({store, clock, random, logger: silentLogger}));
 }
 
-function render(path: string): Declaration {
+function readDeclaration(path: string): Declaration {
 	return renderDeclaration(readDeclarationFolder(path));
 }
 
-async function contentOf(
+async function loadDeclaration(
 	store: DeclarationStore,
 	hash: string | undefined,
 ): Promise<Declaration | undefined> {
@@ -90,15 +91,15 @@
 	return changes.length === 0 ? ['no changes'] : changes.map((change) => formatChange(change));
 }
 
-async function guard(isJson: boolean, work: () => Promise<ExitCode>): Promise<void> {
+async function runAndReport(isJson: boolean, action: () => Promise<ExitCode>): Promise<void> {
 	try {
-		process.exitCode = await work();
+		process.exitCode = await action();
 	} catch (err) {
-		process.exitCode = report(isJson, err);
+		process.exitCode = reportError(isJson, err);
 	}
 }
 
-function report(isJson: boolean, err: unknown): ExitCode {
+function reportError(isJson: boolean, err: unknown): ExitCode {
 	if (err instanceof FindingsError) {
 		const lines = err.findings.map((finding) => formatFinding(finding));
 		const text = isJson ? JSON.stringify({findings: err.findings}) : lines.join('\n');
@@ -112,15 +113,15 @@
 
 const check = command({
 	name: 'check',
-	description: 'Checks declaration files as a whole.',
+	description: 'Checks all declaration files together.',
 	args: {folder, json},
 	handler: async ({folder: path, json: isJson}) =>
-		guard(isJson, async () => {
-			const declaration = render(path);
+		runAndReport(isJson, async () => {
+			const declaration = readDeclaration(path);
 			const {services, calls} = declaration;
 			const summary = {services: services.length, policies: calls.length};
 			write(isJson, summary, [
-				`${path}: valid; ${summary.services} services, ${summary.policies} policies of customers`,
+				`${path}: valid; ${summary.services} services, ${summary.policies} customer policies`,
 			]);
 			return ExitCode.Ok;
 		}),
@@ -131,11 +132,11 @@
 	description: 'Shows what applying the files would change.',
 	args: {folder, store: storeOption, json},
 	handler: async ({folder: path, store: address, json: isJson}) =>
-		guard(isJson, async () => {
-			const declaration = render(path);
+		runAndReport(isJson, async () => {
+			const declaration = readDeclaration(path);
 			const store = openStore(address);
 			const {head} = await store.readHead();
-			const changes = planChanges(await contentOf(store, head.accepted?.hash), declaration);
+			const changes = planChanges(await loadDeclaration(store, head.accepted?.hash), declaration);
 			const revision = head.accepted?.revision ?? 0;
 			write(isJson, {revision, changes}, [
 				...changeLines(changes),
@@ -153,11 +154,11 @@
 		}
 
 		case ApplyOutcome.Unchanged: {
-			return [`revision ${revision} says the same already`];
+			return [`revision ${revision} already has the same content`];
 		}
 
 		case ApplyOutcome.Conflict: {
-			const title = `conflict: revision ${revision} was made by somebody else; wanted against it:`;
+			const title = `conflict: revision ${revision} comes from another change; differences to the requested declaration:`;
 			return [title, ...changeLines(differences)];
 		}
 
@@ -181,19 +182,31 @@
 
 const apply = command({
 	name: 'apply',
-	description: 'Brings the files into force everywhere.',
+	description: 'Stages the files as a new revision and waits until it is accepted and in force.',
 	args: {
 		folder,
 		store: storeOption,
-		on: option({type: optional(number), long: 'on', description: 'revision of the plan'}),
+		on: option({
+			type: optional(number),
+			long: 'on',
+			description: 'accepted revision that the plan was made on',
+		}),
 		message: option({type: string, long: 'message', short: 'm', defaultValue: () => ''}),
-		wait: option({type: number, long: 'wait', defaultValue: () => 20, description: 'seconds'}),
-		withdraw: flag({long: 'withdraw', description: 'take the change back if it is not accepted'}),
+		wait: option({
+			type: number,
+			long: 'wait',
+			defaultValue: () => 20,
+			description: 'maximum time to wait, in seconds',
+		}),
+		withdraw: flag({
+			long: 'withdraw',
+			description: 'withdraw the change if it is not accepted in time',
+		}),
 		json,
 	},
 	handler: async ({folder: path, store, on, message, wait, withdraw, json: isJson}) =>
-		guard(isJson, async () => {
-			const declaration = render(path);
+		runAndReport(isJson, async () => {
+			const declaration = readDeclaration(path);
 			const applier = new ChangeApplier(openStore(store), clock);
 			const result = await applier.apply({
 				declaration,
@@ -212,10 +225,10 @@
 const status = command({
 	name: 'status',
 	description:
-		'Shows which revision is accepted, which is staged, and who has not acknowledged it.',
+		'Shows which revision is accepted, which is staged, and which zones have not acknowledged it.',
 	args: {store: storeOption, json},
 	handler: async ({store: address, json: isJson}) =>
-		guard(isJson, async () => {
+		runAndReport(isJson, async () => {
 			const store = openStore(address);
 			const {head} = await store.readHead();
 			const silentZones = head.staged ? await store.unacknowledgedZones(head.staged.revision) : [];
@@ -233,7 +246,7 @@
 	description: 'Lists accepted revisions.',
 	args: {store: storeOption, json},
 	handler: async ({store: address, json: isJson}) =>
-		guard(isJson, async () => {
+		runAndReport(isJson, async () => {
 			const records = await openStore(address).history();
 			const lines = records.map(({revision, at, author, message}) =>
 				[revision, new Date(at).toISOString(), author, message].join('  '),
@@ -245,7 +258,7 @@
 
 const diff = command({
 	name: 'diff',
-	description: 'Shows what changed from one accepted revision to another.',
+	description: 'Shows the differences between two accepted revisions.',
 	args: {
 		from: positional({type: number, displayName: 'FROM'}),
 		to: positional({type: number, displayName: 'TO'}),
@@ -253,12 +266,12 @@
 		json,
 	},
 	handler: async ({from, to, store: address, json: isJson}) =>
-		guard(isJson, async () => {
+		runAndReport(isJson, async () => {
 			const store = openStore(address);
 			const records = await store.history();
-			const find = async (revision: number) => {
+			const findDeclaration = async (revision: number) => {
 				const record = records.find((item) => item.revision === revision);
-				const declaration = await contentOf(store, record?.hash);
+				const declaration = await loadDeclaration(store, record?.hash);
 				if (!declaration) {
 					throw new UsageError(`revision ${revision} was never accepted`);
 				}
@@ -266,7 +279,7 @@
 				return declaration;
 			};
 
-			const changes = planChanges(await find(from), await find(to));
+			const changes = planChanges(await findDeclaration(from), await findDeclaration(to));
 			write(isJson, changes, changeLines(changes));
 			return ExitCode.Ok;
 		}),
@@ -274,21 +287,22 @@
 
 const retireZone = command({
 	name: 'retire-zone',
-	description: 'Takes a zone that is no longer in use out of those that must acknowledge changes.',
+	description:
+		'Removes a zone that is no longer in use from the zones that must acknowledge changes.',
 	args: {
 		zone: positional({type: string, displayName: 'REGION/ZONE'}),
 		store: storeOption,
 		json,
 	},
 	handler: async ({zone, store, json: isJson}) =>
-		guard(isJson, async () => {
+		runAndReport(isJson, async () => {
 			await openStore(store).retireZone(zone);
 			write(isJson, {retired: zone}, [`${zone} no longer has to acknowledge changes`]);
 			return ExitCode.Ok;
 		}),
 });
 
-async function askNode(
+async function requestNode(
 	node: string,
 	method: 'GET' | 'POST' | 'DELETE',
 	path: string,
@@ -303,30 +317,35 @@
 
 const drain = command({
 	name: 'drain',
-	description: 'Lets the backend server of a node finish its work and take no more.',
+	description: 'Drains the backend server of a node: it finishes its calls and gets no new ones.',
 	args: {node: nodeArgument, json},
 	handler: async ({node, json: isJson}) =>
-		guard(isJson, async () => {
-			await askNode(node, 'POST', '/v1/drain');
-			write(isJson, {draining: node}, [`${node} takes no new work`]);
+		runAndReport(isJson, async () => {
+			await requestNode(node, 'POST', '/v1/drain');
+			write(isJson, {draining: node}, [`${node} is draining and takes no new calls`]);
 			return ExitCode.Ok;
 		}),
 });
 
 const holds = command({
 	name: 'holds',
-	description: 'Lists requests that are held back as they crash backend servers, or lifts a hold.',
+	description:
+		'Lists requests that are held back because they crash backend servers, or lifts a hold.',
 	args: {
 		node: nodeArgument,
-		lift: option({type: optional(string), long: 'lift', description: 'fingerprint'}),
+		lift: option({
+			type: optional(string),
+			long: 'lift',
+			description: 'fingerprint of the hold to lift',
+		}),
 		json,
 	},
 	handler: async ({node, lift, json: isJson}) =>
-		guard(isJson, async () => {
+		runAndReport(isJson, async () => {
 			const text =
 				lift === undefined
-					? await askNode(node, 'GET', '/v1/holds')
-					: await askNode(node, 'DELETE', `/v1/holds/${encodeURIComponent(lift)}`);
+					? await requestNode(node, 'GET', '/v1/holds')
+					: await requestNode(node, 'DELETE', `/v1/holds/${encodeURIComponent(lift)}`);
 			process.stdout.write(text);
 			return ExitCode.Ok;
 		}),
@@ -334,7 +353,8 @@
 
 const program = subcommands({
 	name: 'turmericctl',
-	description: 'Drives a deployment by changing templates and parameters.',
+	description:
+		'Manages a deployment: applies declaration files, shows revisions and controls nodes.',
 	version: packageVersion(),
 	cmds: {check, plan, apply, status, history, diff, drain, holds, 'retire-zone': retireZone},
 });
