--- a/src/backend/__tests__/unit/pacing.test.ts
+++ b/src/backend/__tests__/unit/pacing.test.ts
@@ -19,7 +19,7 @@
 const timeout: Millis = 800;
 
 /** Simulates load on one backend server with random slow periods; counts arrivals and answers in time. */
-function simulateOverload(isDelaying: boolean, seed: number): {inTime: number; arrived: number} {
+function simulateSlowPeriods(isDelaying: boolean, seed: number): {inTime: number; arrived: number} {
 	const clock = new ManualClock();
 	const random = createRandom(seed);
 	const slowPeriodRandom = createRandom(seed + 1000);
@@ -105,8 +105,8 @@
 	it.each([1, 2, 3])(
 		'answers more calls in time at 70 % load than without delays (seed %i)',
 		(seed) => {
-			const delayed = simulateOverload(true, seed);
-			const started = simulateOverload(false, seed);
+			const delayed = simulateSlowPeriods(true, seed);
+			const started = simulateSlowPeriods(false, seed);
 			expect(delayed.arrived).toBe(started.arrived);
 			const lateWhenDelayed = delayed.arrived - delayed.inTime;
 			const lateWhenStarted = started.arrived - started.inTime;
--- a/src/backend/admission.ts
+++ b/src/backend/admission.ts
@@ -4,7 +4,7 @@
 import {compareUrgency, type Urgency} from './queue-order.js';
 import {ServiceTime} from './service-time.js';
 
-/** A request for a slot at the backend server. Exactly one of `start` and `refuse` is called, once. */
+/** A request for a slot at the backend server. Either `start` or `refuse` is called, once, unless it is withdrawn first. */
 export interface AdmissionRequest extends Urgency {
 	readonly customer: string;
 	/** Relative weight of the customer when several customers compete for slots. */
@@ -167,6 +167,7 @@
 		};
 	}
 
+	// May evict a queued call to make room for the new one.
 	private refusalFor(request: AdmissionRequest): RefusalReason | undefined {
 		const timeLeft = request.deadline.timeLeft(this.clock.now());
 		if (timeLeft <= 0) {
@@ -183,7 +184,7 @@
 			return isFull ? RefusalReason.Busy : RefusalReason.BackendSlow;
 		}
 
-		if (this.isOverShare(request, request)) {
+		if (this.hasUsedShare(request, request)) {
 			return RefusalReason.CustomerShare;
 		}
 
@@ -191,18 +192,18 @@
 			return RefusalReason.DeadlineTooShort;
 		}
 
-		return this.hasRoomFor(request) ? undefined : RefusalReason.QueueFull;
+		return this.makeRoomFor(request) ? undefined : RefusalReason.QueueFull;
 	}
 
-	// When the queue is full, a call of a customer that is over its share is evicted in favour of a
-	// customer that is within its share.
-	private hasRoomFor(request: AdmissionRequest): boolean {
+	// When the queue is full, a call of another customer that has used up its share is evicted. A customer
+	// that has used up its own share was refused before.
+	private makeRoomFor(request: AdmissionRequest): boolean {
 		if (this.queue.length < this.limits.queue) {
 			return true;
 		}
 
 		const evicted = this.queue.findLast(
-			(other) => other.customer !== request.customer && this.isOverShare(other, request),
+			(other) => other.customer !== request.customer && this.hasUsedShare(other, request),
 		);
 		if (!evicted) {
 			return false;
@@ -214,7 +215,7 @@
 	}
 
 	// A customer alone may use the whole capacity, but only its share while others compete.
-	private isOverShare(request: AdmissionRequest, newRequest: AdmissionRequest): boolean {
+	private hasUsedShare(request: AdmissionRequest, newRequest: AdmissionRequest): boolean {
 		const usage = this.usage.get(request.customer);
 		const occupied = (usage?.running ?? 0) + (usage?.queued ?? 0);
 		const capacity = this.limits.slots + this.limits.queue;
@@ -231,18 +232,20 @@
 	}
 
 	private predictedTime(request: AdmissionRequest): Millis {
-		let ahead = 1;
-		let ownAhead = 1;
+		// Both positions count the call itself.
+		let position = 1;
+		let ownPosition = 1;
 		for (const other of this.queue) {
 			const isAhead = this.compare(other, request) <= 0;
-			ahead += isAhead ? 1 : 0;
-			ownAhead += isAhead && other.customer === request.customer ? 1 : 0;
+			position += isAhead ? 1 : 0;
+			ownPosition += isAhead && other.customer === request.customer ? 1 : 0;
 		}
 
-		// Fair sharing bounds the wait by the own queued calls, however many another customer has queued.
-		const fairAhead = (ownAhead * this.totalShare(request)) / request.share;
+		// Fair sharing bounds the wait by the customer's own queued calls, however many others have queued:
+		// the customer gets its share of the starts, so its calls start once per total share / own share.
+		const fairPosition = (ownPosition * this.totalShare(request)) / request.share;
 		const excess = Math.max(0, this.running.size - this.limits.slots);
-		const positions = Math.min(ahead, fairAhead) + excess;
+		const positions = Math.min(position, fairPosition) + excess;
 		const current = this.currentServiceTime();
 		const serviceTime = this.serviceTime.isKnown ? current : Math.max(current, request.work);
 		const delay = request.startDelay?.() ?? 0;
@@ -261,7 +264,8 @@
 		return Math.max(this.serviceTime.average, meanAge);
 	}
 
-	// Calls that need more than their time left are refused early, so that their callers can still retry.
+	// Least time in which a queued call could still be answered: its delay and a short run, but at least half
+	// the average service time. A call with less time left is refused early, so that its caller can retry.
 	private minimumTime(request: AdmissionRequest): Millis {
 		const delay = request.startDelay?.() ?? 0;
 		return Math.max(this.serviceTime.average / 2, delay + request.work * shortRunFactor);
@@ -290,7 +294,7 @@
 				continue;
 			}
 
-			const shareDifference = this.usagePerShare(request) - this.usagePerShare(next);
+			const shareDifference = this.runningPerShare(request) - this.runningPerShare(next);
 			if (shareDifference < 0 || (shareDifference === 0 && this.compare(request, next) < 0)) {
 				next = request;
 			}
@@ -303,7 +307,7 @@
 		return compareUrgency(a, b, this.clock.now());
 	}
 
-	private usagePerShare(request: AdmissionRequest): number {
+	private runningPerShare(request: AdmissionRequest): number {
 		return (this.usage.get(request.customer)?.running ?? 0) / request.share;
 	}
 
--- a/src/backend/backend-lifecycle.ts
+++ b/src/backend/backend-lifecycle.ts
@@ -14,10 +14,15 @@
 
 /** Events that change the state of a backend server. */
 export enum BackendEvent {
+	/** A backend server announced itself while none was present. */
 	Announced = 'announced',
+	/** Its warm-up period has ended. */
 	Warmed = 'warmed',
+	/** It was told to finish its running calls and accepts no new ones. */
 	Drained = 'drained',
+	/** Its announcements have stopped, or it refuses connections. */
 	Silent = 'silent',
+	/** Another start of the backend server announced itself while one was present. */
 	Restarted = 'restarted',
 }
 
--- a/src/backend/backend-speed.ts
+++ b/src/backend/backend-speed.ts
@@ -2,21 +2,28 @@
 
 /** Time constant by which a reading loses weight: the load of neighbouring VMs changes about this fast. */
 const speedDecayTime: Millis = 500;
-/** Weight of one reading in the long-term mean: about 30 s of readings at 5 per second. */
+/** Weight of one reading in the long-term mean, which covers about the last 100 readings. */
 const meanWeight = 0.01;
 /** Readings are clamped to these bounds. */
 const minSlowdown = 0.1;
 const maxSlowdown = 50;
 /** Ratio of the slowdown to the recent minimum from which on a backend server is in a slow period. */
 const slowPeriodFactor = 2;
-/** Window of the recent minimum; longer than slow periods, so that it contains a reading outside of them. */
+/**
+ * Window of the recent minimum: longer than a typical slow period, so that it contains a reading outside of
+ * it, but shorter than the longest (1500 ms). A slow period that outlasts the window becomes the baseline and
+ * no longer counts as slow.
+ */
 const baselineWindow: Millis = 1200;
 /** Assumed length of a slow period until one has been observed; typical of shared hosts. */
 const defaultSlowPeriod: Millis = 500;
 const slowPeriodWeight = 0.1;
 /** With a longer gap between two readings, the length of a slow period is not measured. */
 const maxReadingGap: Millis = 350;
-/** Upper bound of a measured length; a longer period was not observed continuously. */
+/**
+ * Upper bound of a measured length; a longer period was not observed continuously. Longer than the window of
+ * the recent minimum.
+ */
 const maxSlowPeriod: Millis = 1500;
 
 type Reading = {readonly slowdown: number; readonly at: Millis};
--- a/src/backend/pacing.ts
+++ b/src/backend/pacing.ts
@@ -13,7 +13,8 @@
 }
 
 /**
- * A call keeps the speed at which it starts. Unless it is short, a call that starts in a slow period
+ * Decides whether to delay the start of a call until the slow period of its backend server is over. A
+ * call keeps the speed at which it starts. Unless it is short, a call that starts in a slow period
  * ends later than one that is delayed until the period is over. On hosts with noisy neighbours,
  * starting every call at once would cost most of the capacity.
  * A call that would miss its deadline at the current speed is not started either, as its caller could
--- a/src/backend/saturation.ts
+++ b/src/backend/saturation.ts
@@ -6,8 +6,9 @@
 /** Samples needed in each of the two states before they are compared. */
 const minSamples = 12;
 /**
- * Slowdown of calls under saturation above which the limit is reduced. At 1.25 the backend server has
- * the same throughput with the reduced limit, and a lower latency.
+ * Slowdown of calls under saturation above which the limit is reduced. At 1.25 (1 / 0.8) the backend
+ * server has the same throughput with the reduced limit, and a lower latency. The threshold is lower:
+ * between the two, the reduced limit costs up to 8 % of the throughput for the lower latency.
  */
 const minSlowdownToLimit = 1.15;
 
--- a/src/routing/__tests__/unit/executor-sampler.test.ts
+++ b/src/routing/__tests__/unit/executor-sampler.test.ts
@@ -24,7 +24,7 @@
 	return {directory, members, add, self: () => self};
 }
 
-describe('ExecutorDraw', () => {
+describe('ExecutorSampler', () => {
 	it('returns all members of a small service', () => {
 		const {directory, self, members} = createFixture(40);
 		const sampled = new Set(
--- a/src/routing/__tests__/unit/objective-placement.test.ts
+++ b/src/routing/__tests__/unit/objective-placement.test.ts
@@ -81,7 +81,7 @@
 		expect(placement.choose(createQuery())).toBe(zone);
 	});
 
-	it('hedges a call only when it is overdue', () => {
+	it('hedges an overdue call, not an earlier one', () => {
 		const {placement, near} = createFixture();
 		const excluded = new Set(['near']);
 		expect(placement.hedgeExecutor(createQuery({excluded}), near, 50)).toBeUndefined();
--- a/src/routing/call-profiles.ts
+++ b/src/routing/call-profiles.ts
@@ -2,7 +2,7 @@
 
 /** Mean cost of the calls of one kind. */
 export interface CallProfile {
-	/** Time at the backend server at its usual speed, in ms. */
+	/** Time at an executor at its usual speed, in ms: includes waiting there, excludes the network round trip. */
 	readonly work: Millis;
 	readonly answerBytes: number;
 }
@@ -43,7 +43,8 @@
 	/**
 	 * Adds a sample. Kinds beyond the maximum number are not recorded.
 	 * @param kind - a kind of call.
-	 * @param work - run time of a call at the usual speed, in ms.
+	 * @param work - time since a call was sent minus the network round trip, at the usual speed, in ms; includes
+	 * waiting at the executor.
 	 * @param answerBytes - size of its answer in bytes.
 	 */
 	add(kind: string, work: Millis, answerBytes: number): void {
--- a/src/routing/expected-time.ts
+++ b/src/routing/expected-time.ts
@@ -42,8 +42,9 @@
 }
 
 /**
- * Part of an answer's value that is lost when it misses its objective. A late answer has a tenth of the
- * value of one in time, and whether a call is served at all counts in addition.
+ * Part of an answer's value that is lost when it misses its objective but not its deadline; missing the
+ * deadline loses all of it. A late answer has a tenth of the value of one in time, and whether a call is
+ * served at all counts in addition.
  */
 const lateLoss = 0.75;
 /** Spread of run times relative to their mean, and the minimum spread in ms. */
--- a/src/routing/objective-placement.ts
+++ b/src/routing/objective-placement.ts
@@ -42,7 +42,10 @@
 /** Size of the headers and framing of a request and its answer. */
 const overheadBytes = 700;
 const kilobyte = 1000;
-/** Time after which a load report is largely outdated; about the run time of a call. */
+/**
+ * Half of the time constant with which the reported load from other ingresses decays, down to half of what
+ * was reported; about the run time of a call.
+ */
 const loadDecayTime: Millis = 300;
 /** Time constant of a reported slowdown; about the length of a slow period. */
 const speedDecayTime: Millis = 500;
@@ -55,7 +58,10 @@
  * executors that answer in time.
  */
 const timeLoss = 0.03;
-/** A hedge is considered once the first attempt has taken this multiple of its expected time. */
+/**
+ * Multiple of the expected time of an attempt after which a hedge is considered, and multiple of the usual
+ * run time of the call after which an attempt counts as overdue.
+ */
 const hedgeDelayFactor = 1.4;
 /** Typical slowdown in a slow period. */
 const slowPeriodSlowdown = 7;
@@ -72,7 +78,10 @@
 /** Bounds of the retry delay that is reported to a refused caller. */
 const minRetryDelay: Millis = 60;
 const maxRetryDelay: Millis = 1000;
-/** Retry delay that is reported to a refused caller when there is no executor: about the time of a restart. */
+/**
+ * Retry delay that is reported to a refused caller when there is no executor; shorter than a restart
+ * (about 1 s).
+ */
 const noExecutorRetryDelay: Millis = 300;
 /** Maximum time for which a call waits for an executor: absolute, and as a share of its time left. */
 const maxExecutorWait: Millis = 400;
@@ -90,7 +99,8 @@
 	private readonly views = new ExecutorViews();
 	private readonly profiles = new CallProfiles();
 	private readonly executors: ExecutorSampler;
-	private usualSlowdown = 1;
+	/** Moving mean of the slowdowns that all executors report. */
+	private meanSlowdown = 1;
 
 	constructor(private readonly deps: ObjectivePlacementDependencies) {
 		this.executors = new ExecutorSampler(deps.directory, deps.self, deps.random);
@@ -173,7 +183,7 @@
 
 		this.views.recordLoad(id, load, this.deps.clock.now());
 		this.executors.recordReport(id);
-		this.usualSlowdown += (load.slowdown - this.usualSlowdown) * 0.01;
+		this.meanSlowdown += (load.slowdown - this.meanSlowdown) * 0.01;
 	}
 
 	avoid(id: string, duration: Millis): void {
@@ -263,11 +273,11 @@
 
 	private slowdownOf(view: ExecutorView, now: Millis): number {
 		if (!view.load) {
-			return this.usualSlowdown;
+			return this.meanSlowdown;
 		}
 
 		const freshness = Math.exp(-(now - view.reportedAt) / speedDecayTime);
-		return this.usualSlowdown + (view.load.slowdown - this.usualSlowdown) * freshness;
+		return this.meanSlowdown + (view.load.slowdown - this.meanSlowdown) * freshness;
 	}
 }
 
--- a/src/routing/placement.ts
+++ b/src/routing/placement.ts
@@ -32,7 +32,10 @@
 	readonly isFailure: boolean;
 }
 
-/** Chooses the executor of each attempt and decides when a hedge is worth its cost. */
+/**
+ * Chooses the executor of each attempt and decides when a hedge is worth its cost. The ingress uses this
+ * interface; a `RoutingPolicy` only chooses among given candidates.
+ */
 export interface Placement {
 	/**
 	 * @param query - the call.
@@ -54,13 +57,13 @@
 	 * @param query - a call with an attempt in flight.
 	 * @param executor - executor of the attempt.
 	 * @param elapsed - time since the attempt was sent, in ms.
-	 * @returns an executor that is expected to answer in time while the first attempt is not; undefined if
-	 * no hedge is worth its cost.
+	 * @returns an executor whose expected loss is enough below that of the first attempt; undefined if no
+	 * hedge is worth its cost.
 	 */
 	hedgeExecutor(query: PlacementQuery, executor: Member, elapsed: Millis): Member | undefined;
 	/**
 	 * @param query - a call that cannot be served now.
-	 * @returns expected time until the call can be served, in ms; undefined if it is unknown.
+	 * @returns delay after which the caller should try again, in ms; undefined if it is unknown.
 	 */
 	retryAfterHint(query: PlacementQuery): Millis | undefined;
 	/**
--- a/src/routing/routing-policy.ts
+++ b/src/routing/routing-policy.ts
@@ -10,7 +10,11 @@
 	readonly timeLeft: Millis;
 }
 
-/** Policy for choosing executors; implemented for production and by baselines for comparison. */
+/**
+ * Chooses one of the given candidates. The ingress uses a `Placement` instead: its nearest-first
+ * placement leaves the choice among its candidates to the expected-wait policy. The other policies
+ * are baselines that the benchmark compares with it.
+ */
 export interface RoutingPolicy {
 	/**
 	 * @param query - the call and its candidates.
