--- a/src/membership/__tests__/unit/gossip.test.ts
+++ b/src/membership/__tests__/unit/gossip.test.ts
@@ -16,7 +16,7 @@
 const noRevisions = {accepted: 0, acceptedHash: '', staged: 0, stagedHash: ''};
 const delayMs = 1;
 const firstSeed = 20_261_204;
-/** With each seed the member is killed at another offset within the probe period. */
+/** With most seeds the member is killed at another offset within the probe period. */
 const seeds = [firstSeed, 1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12, 13, 14, 15];
 const zoneOf = (i: number) => ({region: i % 2 === 0 ? 'harju' : 'parnu', zone: `zone-${i % 4}`});
 
--- a/src/membership/directory.ts
+++ b/src/membership/directory.ts
@@ -5,7 +5,7 @@
 /** Number of buckets in a digest. */
 export const bucketCount = 256;
 
-/** Called after each change of a member. */
+/** Called after a record of a member is stored; not called when a member is removed. */
 export type MemberListener = (member: Member, previous: Member | undefined) => void;
 
 /**
@@ -62,14 +62,17 @@
 		return id === undefined ? undefined : this.members.get(id);
 	}
 
-	/** @returns every member, including tombstones. */
+	/**
+	 * @returns every member, including tombstones: records of dead or departed members, which are kept for some
+	 * time so that stale records don't resurrect them.
+	 */
 	all(): IterableIterator<Member> {
 		return this.members.values();
 	}
 
 	/**
 	 * @param service - name of a service.
-	 * @returns the members whose backend server provides it.
+	 * @returns all members with a backend server of this service, including dead, left and draining ones.
 	 */
 	ofService(service: string): Iterable<Member> {
 		return this.services.get(service)?.values() ?? [];
@@ -119,7 +122,7 @@
 	}
 
 	/**
-	 * @param listener - called after each change.
+	 * @param listener - called after a record is stored; not called when a member is removed.
 	 * @returns a function that ends the registration.
 	 */
 	registerListener(listener: MemberListener): Undo {
--- a/src/membership/gossip-codec.ts
+++ b/src/membership/gossip-codec.ts
@@ -38,6 +38,10 @@
 const checksumBytes = 4;
 const hashBytes = 6;
 const livenessMultiplier = 16;
+/**
+ * Versions take 16 bits in a brief update; higher ones are clamped. A receiver with a newer record ignores the
+ * clamped update, and digests repair the difference.
+ */
 const maxBriefVersion = 0xff_ff;
 
 type Packed = readonly unknown[];
@@ -58,7 +62,7 @@
 
 function unpackBrief(packed: unknown): BriefUpdate[] {
 	if (!(packed instanceof Uint8Array) || packed.length % briefBytes !== 0) {
-		throw new GossipDecodeError('brief updates have an invalid length');
+		throw new GossipDecodeError('gossip message: invalid length of the brief updates');
 	}
 
 	const view = new DataView(packed.buffer, packed.byteOffset, packed.length);
@@ -92,7 +96,7 @@
 
 function asString(value: unknown): string {
 	if (typeof value !== 'string') {
-		throw new GossipDecodeError('expected a string');
+		throw new GossipDecodeError('gossip message: a text field is not a string');
 	}
 
 	return value;
@@ -101,7 +105,7 @@
 function asUnsignedInteger(value: unknown): number {
 	const number = typeof value === 'bigint' ? Number(value) : value;
 	if (typeof number !== 'number' || !Number.isSafeInteger(number) || number < 0) {
-		throw new GossipDecodeError('expected a non-negative integer');
+		throw new GossipDecodeError('gossip message: a numeric field is not a non-negative integer');
 	}
 
 	return number;
@@ -110,7 +114,9 @@
 function asEnum<T extends number>(value: unknown, values: readonly T[]): T {
 	const found = values[asUnsignedInteger(value)];
 	if (found === undefined) {
-		throw new GossipDecodeError('enum value out of range');
+		throw new GossipDecodeError(
+			'gossip message: unknown message type, rumor kind, phase or liveness',
+		);
 	}
 
 	return found;
@@ -118,7 +124,7 @@
 
 function asList(value: unknown): readonly unknown[] {
 	if (!Array.isArray(value)) {
-		throw new GossipDecodeError('expected an array');
+		throw new GossipDecodeError('gossip message: a list field is not an array');
 	}
 
 	return value;
@@ -224,7 +230,7 @@
 
 function unpackChecksums(packed: unknown): Uint32Array {
 	if (!(packed instanceof Uint8Array) || packed.length !== bucketCount * checksumBytes) {
-		throw new GossipDecodeError('checksums have an invalid length');
+		throw new GossipDecodeError('gossip message: invalid length of the digest checksums');
 	}
 
 	const view = new DataView(packed.buffer, packed.byteOffset, packed.length);
@@ -292,7 +298,7 @@
 	try {
 		packed = packr.unpack(bytes);
 	} catch (err) {
-		throw new GossipDecodeError('invalid MessagePack data', {cause: err});
+		throw new GossipDecodeError('gossip message: invalid MessagePack data', {cause: err});
 	}
 
 	const fields = asList(packed);
--- a/src/membership/gossip-message.ts
+++ b/src/membership/gossip-message.ts
@@ -13,7 +13,10 @@
 	Digest = 3,
 	/** Full member records. */
 	Entries = 4,
-	/** Reports the revision whose content the sender holds. */
+	/**
+	 * Reports the revision of the declaration whose content the sender holds. The members that read the store
+	 * for their zone use it to know when the whole zone holds a staged revision.
+	 */
 	HeldRevision = 5,
 }
 
--- a/src/membership/gossip-settings.ts
+++ b/src/membership/gossip-settings.ts
@@ -2,7 +2,7 @@
 
 /** Rates and limits of the gossip protocol. */
 export interface GossipSettings {
-	/** Time between two probes of the member that this node monitors. */
+	/** Time between two probes of the member that this node monitors; also the period of `Gossip.tick`. */
 	readonly probePeriod: Millis;
 	/** Probe periods per additional probe of a random member, which disseminates updates. */
 	readonly probesPerRandomProbe: number;
@@ -40,11 +40,14 @@
 	readonly maxOtherRegionShare: number;
 	/** Maximum bytes of queued updates on one message. */
 	readonly piggybackBytes: number;
-	/** Number of times that each update is sent within the region. */
+	/** Number of times that each update is sent within the region; for urgent brief updates see `urgentCopies`. */
 	readonly copies: number;
-	/** The same for urgent updates: each broadcast message and each answer to one uses up a copy. */
+	/**
+	 * Number of times that each urgent brief update is sent within the region, and again to other regions. Each
+	 * broadcast message and each answer to one uses up a copy.
+	 */
 	readonly urgentCopies: number;
-	/** Number of times that each update is sent to other regions. */
+	/** Number of times that each update is sent to other regions; for urgent brief updates see `urgentCopies`. */
 	readonly farCopies: number;
 	/** Maximum number of queued updates. */
 	readonly queueCapacity: number;
--- a/src/membership/gossip.ts
+++ b/src/membership/gossip.ts
@@ -54,7 +54,7 @@
 	 */
 	handleKnownRevisions(revisions: KnownRevisions, from: string): void;
 	/**
-	 * Called when a rumor is received for the first time.
+	 * Called once for each rumor, also for those that this node spreads itself.
 	 * @param rumor - the rumor.
 	 */
 	handleRumor(rumor: Rumor): void;
@@ -90,7 +90,10 @@
 /** Seconds of the urgent broadcast budget that can accumulate. */
 const urgentBurstSeconds = 4;
 const urgentFanOut = 3;
-/** Broadcasts of an urgent update by each member that receives it. With one, 1 member in 20 misses it. */
+/**
+ * Broadcasts of an urgent update by each member that receives it. With one broadcast each, about 1 member in
+ * 20 misses the update.
+ */
 const urgentBroadcastCount = 3;
 
 function rumorBytes(rumor: Rumor): number {
@@ -215,6 +218,7 @@
 	 */
 	addUnconfirmed(id: string, place: Pick<Member, 'region' | 'zone' | 'service'>): void {
 		if (!this.directory.get(id)) {
+			// The record of a started node serves as the placeholder; its incarnation marks it as unconfirmed.
 			const placeholder = createLocalMember(id, unconfirmedIncarnation, place);
 			this.directory.merge({...placeholder, service: place.service});
 			this.ping(id, false);
@@ -293,7 +297,7 @@
 		this.probeDeadMember(now);
 	}
 
-	/** Expires unanswered probes; called frequently while {@link hasPendingChecks}. */
+	/** Expires unanswered probes and broadcasts urgent updates; called frequently while {@link hasPendingChecks}. */
 	checkProbes(): void {
 		const now = this.clock.now();
 		if (now - this.lastTick < this.settings.probePeriod + this.settings.pauseThreshold) {
@@ -342,8 +346,8 @@
 		}
 	}
 
-	// Peers must stop routing to suspected or draining members at once. The budget bounds the traffic
-	// that the loss of a zone causes.
+	// Peers must learn at once that a member is suspected or draining, to stop routing calls to it, and that
+	// a suspicion was refuted. The budget bounds the traffic when a whole zone is lost.
 	private broadcastUrgentUpdates(): void {
 		if (this.urgentBroadcastsLeft > 0 && this.urgentBudget.trySpend(1)) {
 			this.urgentBroadcastsLeft -= 1;
@@ -787,8 +791,9 @@
 }
 
 /**
+ * Creates the first record of the local node, or the placeholder of a remote node that is unconfirmed.
  * @param id - address and link port.
- * @param incarnation - incarnation of this start of the process.
+ * @param incarnation - incarnation of this start of the process; that of unconfirmed members for a placeholder.
  * @param place - region and zone of the node.
  * @returns the record of a node that has just started.
  */
--- a/src/membership/member.ts
+++ b/src/membership/member.ts
@@ -1,4 +1,4 @@
-/** Phase that a member announces for itself. A higher value takes precedence within one version. */
+/** Phase that a member announces for itself. A higher value takes precedence within one version and liveness. */
 export enum MemberPhase {
 	/** The node has no backend server that can take calls. */
 	Joining = 0,
@@ -10,7 +10,10 @@
 	Left = 3,
 }
 
-/** Result of failure detection by other members. A higher value takes precedence within one version. */
+/**
+ * Result of failure detection by other members. A higher value takes precedence within one version, whatever
+ * the phase.
+ */
 export enum Liveness {
 	Alive = 0,
 	Suspect = 1,
@@ -21,7 +24,10 @@
 export interface Member {
 	/** Address and link port at which peers reach the node. */
 	readonly id: string;
-	/** Increases with each start of the process at this address. */
+	/**
+	 * Increases with each start of the process at this address, and when the node refutes a record of itself
+	 * with a higher incarnation.
+	 */
 	readonly incarnation: number;
 	/** Increases with each change that the member itself announces. */
 	readonly version: number;
@@ -55,7 +61,10 @@
 /** Incarnation of a member that is known only from the platform's store; any gossiped record overrides it. */
 export const unconfirmedIncarnation = 0;
 
-/** Version of a member that answered but whose record has not arrived; its own record overrides it. */
+/**
+ * Version of a confirmed member (a message from it has arrived) whose own record has not arrived; that record
+ * overrides it.
+ */
 export const unconfirmedVersion = 0;
 
 /**
--- a/src/membership/probe-targets.ts
+++ b/src/membership/probe-targets.ts
@@ -10,6 +10,7 @@
 /** How far a member is from this node. */
 export enum Distance {
 	SameZone = 0,
+	/** Another availability zone of the same region. */
 	SameRegion = 1,
 	OtherRegion = 2,
 }
@@ -32,8 +33,9 @@
 
 /**
  * Selects the members to probe. The members of a zone monitor each other in a ring, so that a failure
- * is detected within a bounded time. Random probes disseminate updates and reach other zones; their
- * targets are drawn so that every member is probed once per round, and most stay in the zone.
+ * is detected within a bounded time. Random probes disseminate updates and reach other zones. Their
+ * targets and those of digests are drawn from the same shuffled rounds, one for each distance, so that
+ * every member is drawn once per round; most targets are in the zone.
  */
 export class ProbeTargets {
 	private readonly roundQueues: string[][] = [[], [], []];
@@ -64,7 +66,7 @@
 		return zone.slice(0, Math.min(maxWatched, end === -1 ? zone.length : end + 1));
 	}
 
-	/** @returns the next target of a random probe; undefined when there is none. */
+	/** @returns the next target of a random probe or of a digest; undefined when there is none. */
 	next(): Member | undefined {
 		const wanted = this.drawDistance();
 		for (const distance of [wanted, Distance.SameZone, Distance.SameRegion, Distance.OtherRegion]) {
@@ -127,13 +129,13 @@
 	}
 
 	private nextAtDistance(distance: Distance): Member | undefined {
-		const ring = this.roundQueues[distance]!;
-		if (ring.length === 0) {
+		const round = this.roundQueues[distance]!;
+		if (round.length === 0) {
 			this.refill(distance);
 		}
 
-		while (ring.length > 0) {
-			const member = this.directory.get(ring.pop()!);
+		while (round.length > 0) {
+			const member = this.directory.get(round.pop()!);
 			if (member && isPresent(member)) {
 				return member;
 			}
