--- a/src/ingress/__tests__/unit/call-runner.test.ts
+++ b/src/ingress/__tests__/unit/call-runner.test.ts
@@ -119,10 +119,10 @@
 
 describe('CallRunner', () => {
 	it.each([
-		['break off', createUnknown(RefusalReason.BackendLost)],
-		['are full', createRefused(RefusalReason.QueueFull, load)],
+		['close the connection', createUnknown(RefusalReason.BackendLost)],
+		['refuse calls as full', createRefused(RefusalReason.QueueFull, load)],
 	])(
-		'keeps attempts within 1.2 of the calls when all backend servers %s',
+		'limits attempts to 1.2 times the number of calls when all backend servers %s',
 		async (_name, result) => {
 			let attempts = 0;
 			const runner = createRunner(6, () => {
@@ -138,7 +138,7 @@
 		},
 	);
 
-	it('never sends a call again that may have run and may not run twice', async () => {
+	it('does not retry a non-idempotent call that may have run', async () => {
 		let attempts = 0;
 		const runner = createRunner(6, () => {
 			attempts += 1;
@@ -149,7 +149,7 @@
 		expect(attempts).toBe(1);
 	});
 
-	it('goes elsewhere without the caller noticing when an executor drains', async () => {
+	it('retries at another executor when executors refuse a call because they are draining', async () => {
 		const tried = new Set<string>();
 		const runner = createRunner(4, (_attempt, executor) => {
 			tried.add(executor);
@@ -160,7 +160,7 @@
 		expect(attempts).toBe(4);
 	});
 
-	it('never tells that a call has not run when an earlier attempt may have', async () => {
+	it('does not report a call as not run when an earlier attempt may have run', async () => {
 		let attempts = 0;
 		const runner = createRunner(6, () => {
 			attempts += 1;
@@ -173,7 +173,7 @@
 		expect(result).toMatchObject({end: AttemptEnd.Unknown, reason: RefusalReason.ExecutorLost});
 	});
 
-	it('replaces the failure of one backend server by the answer of another', async () => {
+	it('retries an idempotent call after an error response and returns the successful answer', async () => {
 		const failed: AttemptResult = {...answered, status: 500};
 		let attempts = 0;
 		const runner = createRunner(6, () => {
@@ -187,7 +187,7 @@
 		expect(end).toMatchObject({attempts: 1, result: {status: 500}});
 	});
 
-	it('never gives one call to a third backend server after two broke', async () => {
+	it('does not retry a call after two backend servers closed the connection', async () => {
 		let attempts = 0;
 		const runner = createRunner(6, () => {
 			attempts += 1;
@@ -197,7 +197,7 @@
 		expect(attempts).toBe(2);
 	});
 
-	it('waits at a busy executor when there is no other', async () => {
+	it('queues at a busy executor when there is no other executor', async () => {
 		const runner = createRunner(1, (attempt) =>
 			attempt.canRetryElsewhere ? createRefused(RefusalReason.Busy, load) : answered,
 		);
@@ -205,7 +205,7 @@
 		expect(result.end).toBe(AttemptEnd.Answered);
 	});
 
-	it('never uses the id of an attempt again', async () => {
+	it('assigns each attempt a unique id', async () => {
 		const ids: number[] = [];
 		const runner = createRunner(4, (attempt) => {
 			ids.push(attempt.id.sequence);
@@ -218,7 +218,7 @@
 		expect(new Set(ids).size).toBe(ids.length);
 	});
 
-	it('looks again at a call that takes long, as a late answer is better than none', async () => {
+	it('rechecks a pending attempt for hedging until a hedge becomes worth its cost', async () => {
 		const clock = new ManualClock(1000);
 		const executors = ['10.0.1.1:7001', '10.0.1.2:7001'].map((id) =>
 			createLocalMember(id, 1, {region: 'r', zone: 'z'}),
--- a/src/ingress/__tests__/unit/hedge.test.ts
+++ b/src/ingress/__tests__/unit/hedge.test.ts
@@ -27,7 +27,7 @@
 }
 
 describe('HedgeRace', () => {
-	it('ends with the first answer and cancels the other attempt', async () => {
+	it('resolves with the first successful answer and cancels the other attempt', async () => {
 		const first = createAttempt();
 		const second = createAttempt();
 		const race = new HedgeRace(first);
@@ -40,8 +40,8 @@
 
 	it.each([
 		['a refusal', createRefused(RefusalReason.Busy)],
-		['a failure of the backend server', answer(500)],
-	])('does not end with %s while another attempt is out', async (_name, result) => {
+		['an error response of the backend server', answer(500)],
+	])('does not resolve with %s while another attempt is pending', async (_name, result) => {
 		const first = createAttempt();
 		const second = createAttempt();
 		const race = new HedgeRace(first);
@@ -51,7 +51,7 @@
 		expect(await race.result).toMatchObject({status: 200});
 	});
 
-	it('ends with the last result when all are bad', async () => {
+	it('resolves with the result of the only attempt when it fails', async () => {
 		const first = createAttempt();
 		const race = new HedgeRace(first);
 		first.resolve(answer(500));
@@ -60,8 +60,8 @@
 
 	it.each([
 		['an attempt that may have run', createUnknown(RefusalReason.BackendLost), AttemptEnd.Unknown],
-		['a failure of the backend server', answer(500), AttemptEnd.Answered],
-	])('never tells a refusal after %s', async (_name, result, end) => {
+		['an error response of the backend server', answer(500), AttemptEnd.Answered],
+	])('does not resolve with a refusal after %s', async (_name, result, end) => {
 		const first = createAttempt();
 		const second = createAttempt();
 		const race = new HedgeRace(first);
@@ -71,7 +71,7 @@
 		expect(await race.result).toMatchObject({end});
 	});
 
-	it('prefers what the backend server told over an attempt that was lost', async () => {
+	it('prefers an error response of the backend server to an attempt without an answer', async () => {
 		const first = createAttempt();
 		const second = createAttempt();
 		const race = new HedgeRace(first);
--- a/src/ingress/call-budgets.ts
+++ b/src/ingress/call-budgets.ts
@@ -3,45 +3,48 @@
 
 type Budgets = {readonly retries: RatioBudget; readonly hedges: RatioBudget};
 
-/** Bounds of what can be saved up by one node, so that all nodes together stay within the slack. */
+/**
+ * Upper bounds, in attempts, of the budgets that one node can accumulate. They keep the sum over all
+ * nodes within the configured slack.
+ */
 export interface BudgetBursts {
 	readonly retries: number;
 	readonly hedges: number;
 }
 
-/** Further attempts of calls, as a share of the calls to each service. */
+/** Limits retries and hedges to a share of the calls to each service. */
 export class CallBudgets {
 	private readonly services = new Map<string, Budgets>();
 
 	constructor(private readonly bursts: () => BudgetBursts) {}
 
 	/**
-	 * A call has come in.
-	 * @param policy - what holds for it.
+	 * Credits the budgets of a service for one received call.
+	 * @param policy - policy of the call, with its retry and hedge shares.
 	 */
 	earn(policy: CallPolicy): void {
-		const {retries, hedges} = this.of(policy.service);
+		const {retries, hedges} = this.budgetsOf(policy.service);
 		retries.deposit(policy.retryShare);
 		hedges.deposit(policy.hedgeShare);
 	}
 
 	/**
 	 * @param service - name of a service.
-	 * @returns whether a further attempt may follow one that failed; it is then spent.
+	 * @returns whether a failed attempt may be retried; if so, the retry is deducted from the budget.
 	 */
 	trySpendRetry(service: string): boolean {
-		return this.of(service).retries.trySpend();
+		return this.budgetsOf(service).retries.trySpend();
 	}
 
 	/**
 	 * @param service - name of a service.
-	 * @returns whether a further attempt may be made beside one that is slow; it is then spent.
+	 * @returns whether a slow attempt may be hedged; if so, the hedge is deducted from the budget.
 	 */
 	trySpendHedge(service: string): boolean {
-		return this.of(service).hedges.trySpend();
+		return this.budgetsOf(service).hedges.trySpend();
 	}
 
-	private of(service: string): Budgets {
+	private budgetsOf(service: string): Budgets {
 		let budgets = this.services.get(service);
 		if (!budgets) {
 			const {retries, hedges} = this.bursts();
--- a/src/ingress/call-runner.ts
+++ b/src/ingress/call-runner.ts
@@ -19,7 +19,6 @@
 import {CallBudgets, type BudgetBursts} from './call-budgets.js';
 import {HedgeRace, type SentAttempt} from './hedge.js';
 
-/** What a call runner is made of. */
 export interface CallRunnerDependencies {
 	readonly clock: Clock;
 	readonly metrics: Metrics;
@@ -27,33 +26,33 @@
 	readonly placement: Placement;
 	/** Incarnation of this node. */
 	readonly instance: string;
-	/** @returns what this node may save up of the budgets for further attempts. */
+	/** @returns the retry and hedge budgets that this node may accumulate. */
 	budgetBursts(): BudgetBursts;
 	/**
-	 * @param id - an executor.
-	 * @returns who takes attempts to it.
+	 * @param id - id of the executor.
+	 * @returns a runner that delivers attempts to the executor.
 	 */
 	runnerTo(id: string): AttemptRunner;
 }
 
 type Progress = {
-	/** Attempts that were sent to an executor. */
+	/** Attempts sent to an executor. */
 	attempts: number;
-	/** Attempts that have reached a backend server, as far as is known. */
+	/** Attempts known to have reached, or assumed to have reached, a backend server. */
 	arrivals: number;
-	broken: number;
-	bounces: number;
+	connectionLosses: number;
+	busyRefusals: number;
 	hedges: number;
 	executor: string | undefined;
-	/** How an earlier attempt ended that may have run. */
-	maybeRun: AttemptResult | undefined;
-	/** The backend server's own failure; told when no further attempt ends better. */
+	/** Result of the latest attempt that may have run. */
+	maybeExecuted: AttemptResult | undefined;
+	/** Error response of a backend server; returned to the caller if no later attempt succeeds. */
 	failure: AnsweredAttempt | undefined;
 	readonly tried: Set<string>;
 };
 
-/** An idempotent call whose attempt is out, and that a second attempt may join. */
-type Watched = {
+/** An idempotent call with a pending attempt, which may be hedged by a second attempt. */
+type HedgeCandidate = {
 	call: Call;
 	progress: Progress;
 	executor: Member;
@@ -61,63 +60,68 @@
 	sentAt: Millis;
 };
 
-/** Refusals that say nothing of the load, and so cost no retry budget; the tried set bounds them. */
-const freeRetries: ReadonlySet<RefusalReason> = new Set([
+/**
+ * Refusals that do not indicate load. Retries after them do not consume the retry budget; the set of
+ * tried executors bounds their number.
+ */
+const unbudgetedRefusals: ReadonlySet<RefusalReason> = new Set([
 	RefusalReason.Draining,
 	RefusalReason.NoBackend,
 	RefusalReason.LinkUnreachable,
 	RefusalReason.BackendReplaced,
 ]);
-/** Refusals by the backend server itself: the request has arrived there. */
-const arrivedRefusals: ReadonlySet<RefusalReason> = new Set([
+/** Refusals by the backend server itself, which count as attempts that reached it. */
+const backendRefusals: ReadonlySet<RefusalReason> = new Set([
 	RefusalReason.BackendRefused,
 	RefusalReason.BackendReplaced,
 ]);
-const maxBounces = 2;
-/** A request that was in flight at two crashes is not given to a third backend server. */
-const maxBroken = 2;
-const bounceShare = 0.5;
-/** How long an executor that could not be reached gets no call that another one can take. */
-const avoidTime: Millis = second;
-/** A further attempt needs its way and a run; short ones take about so long. */
-const leastRetryTime: Millis = 20;
-/** How often a call that waits for an executor looks for one. */
-const awaitPeriod: Millis = 20;
-/** How often an attempt that takes long is looked at again. */
-const reconsiderPeriod: Millis = 80;
+/** After this many refusals by busy executors, a call queues at the executor that it is sent to. */
+const maxBusyRefusals = 2;
+/** A request that was in flight when two backend servers crashed is not sent to a third one. */
+const maxConnectionLosses = 2;
+/** Attempts that a busy executor may refuse instead of queueing, as a share of the calls. */
+const retryElsewhereShare = 0.5;
+/** How long an unavailable executor receives no calls that another executor can take. */
+const avoidDuration: Millis = second;
+/** Time left below which a call is not retried: a short run including transfer takes about 20 ms. */
+const minRetryTime: Millis = 20;
+/** Interval at which a call without an executor looks for one. */
+const executorPollInterval: Millis = 20;
+/** Interval at which a pending attempt is checked again for hedging. */
+const hedgeRecheckInterval: Millis = 80;
 const serverErrorStatus = 500;
 
-/** Chooses executors for a call until it is answered or must be refused. */
+/** Sends attempts of a call to executors until it is answered or must be refused. */
 export class CallRunner {
 	private readonly budgets: CallBudgets;
-	private readonly bounces = new RatioBudget();
-	private readonly watched = new Map<string, Set<Watched>>();
+	private readonly retryElsewhereBudget = new RatioBudget();
+	private readonly hedgeCandidates = new Map<string, Set<HedgeCandidate>>();
 	private sequence = 0;
 
-	constructor(private readonly parts: CallRunnerDependencies) {
-		this.budgets = new CallBudgets(() => parts.budgetBursts());
+	constructor(private readonly deps: CallRunnerDependencies) {
+		this.budgets = new CallBudgets(() => deps.budgetBursts());
 	}
 
 	/**
-	 * @param call - what to run.
-	 * @returns how it ended.
+	 * @param call - the call to run.
+	 * @returns the end of the call.
 	 */
 	async run(call: Call): Promise<CallEnd> {
 		this.budgets.earn(call.policy);
-		this.bounces.deposit(bounceShare);
+		this.retryElsewhereBudget.deposit(retryElsewhereShare);
 		const progress: Progress = {
 			attempts: 0,
 			arrivals: 0,
-			broken: 0,
-			bounces: 0,
+			connectionLosses: 0,
+			busyRefusals: 0,
 			hedges: 0,
 			executor: undefined,
-			maybeRun: undefined,
+			maybeExecuted: undefined,
 			failure: undefined,
 			tried: new Set(),
 		};
-		const undoDeadline = this.parts.clock.after(
-			call.deadline.timeLeft(this.parts.clock.now()),
+		const undoDeadline = this.deps.clock.after(
+			call.deadline.timeLeft(this.deps.clock.now()),
 			() => {
 				call.cancellation.cancel();
 			},
@@ -126,51 +130,51 @@
 		for (;;) {
 			const executor =
 				this.choose(call, progress) ??
-				this.chooseToWait(call, progress) ??
+				this.chooseForQueueing(call, progress) ??
 				// eslint-disable-next-line no-await-in-loop
 				(await this.awaitExecutor(call, progress));
 			if (!executor) {
-				last ??= createRefused(this.parts.placement.noExecutorReason(this.query(call, progress)));
+				last ??= createRefused(this.deps.placement.noExecutorReason(this.query(call, progress)));
 				break;
 			}
 
-			// Attempts follow each other: the next one depends on how the last one ended.
+			// Attempts are sequential: each one depends on the result of the previous one.
 			// eslint-disable-next-line no-await-in-loop
 			last = await this.attempt(call, executor, progress);
-			this.noteArrival(last, progress);
-			if (!this.mayTryAgain(call, last, progress)) {
+			this.recordArrival(last, progress);
+			if (!this.canRetry(call, last, progress)) {
 				break;
 			}
 		}
 
-		const result = this.truth(last, progress);
-		endWithAnswer(result, undoDeadline);
-		return this.endOf(call, result, progress);
+		const result = this.combineResults(last, progress);
+		releaseWithAnswer(result, undoDeadline);
+		return this.createCallEnd(call, result, progress);
 	}
 
 	/**
-	 * An executor has become slow: calls that wait for it may get a second attempt.
-	 * @param id - the executor.
+	 * Checks the pending attempts at an executor for hedging after the executor has become slow.
+	 * @param id - id of the executor.
 	 */
 	reconsiderHedges(id: string): void {
-		for (const watched of this.watched.get(id) ?? []) {
-			this.tryHedge(watched);
+		for (const candidate of this.hedgeCandidates.get(id) ?? []) {
+			this.tryHedge(candidate);
 		}
 	}
 
-	private endOf(call: Call, result: AttemptResult, progress: Progress): CallEnd {
+	private createCallEnd(call: Call, result: AttemptResult, progress: Progress): CallEnd {
 		const {attempts, executor} = progress;
 		const isRefused = result.end === AttemptEnd.Refused;
 		const roomIn = isRefused
-			? this.parts.placement.retryAfterHint({...this.query(call, progress), excluded: new Set()})
+			? this.deps.placement.retryAfterHint({...this.query(call, progress), excluded: new Set()})
 			: undefined;
 		return {result, attempts, executor, retryAfter: roomIn};
 	}
 
-	// "Not run" holds for the call only if it holds for each of its attempts.
-	private truth(last: AttemptResult, progress: Progress): AttemptResult {
-		const {maybeRun, failure} = progress;
-		if (last.end === AttemptEnd.Answered || !maybeRun) {
+	// A call is reported as "not run" only if none of its attempts can have run.
+	private combineResults(last: AttemptResult, progress: Progress): AttemptResult {
+		const {maybeExecuted, failure} = progress;
+		if (last.end === AttemptEnd.Answered || !maybeExecuted) {
 			return last;
 		}
 
@@ -178,21 +182,21 @@
 			return failure;
 		}
 
-		return last.end === AttemptEnd.Refused ? maybeRun : last;
+		return last.end === AttemptEnd.Refused ? maybeExecuted : last;
 	}
 
-	private noteArrival(result: AttemptResult, progress: Progress): void {
+	private recordArrival(result: AttemptResult, progress: Progress): void {
 		if (result.end !== AttemptEnd.Refused) {
 			progress.arrivals += 1;
-			progress.maybeRun = result;
+			progress.maybeExecuted = result;
 			progress.failure = isServerFailure(result) ? result : progress.failure;
-		} else if (arrivedRefusals.has(result.reason)) {
+		} else if (backendRefusals.has(result.reason)) {
 			progress.arrivals += 1;
 		}
 	}
 
 	private query(call: Call, progress: Progress): PlacementQuery {
-		const now = this.parts.clock.now();
+		const now = this.deps.clock.now();
 		const {head, deadline, objective, body} = call;
 		return {
 			service: head.service,
@@ -208,26 +212,26 @@
 	}
 
 	private choose(call: Call, progress: Progress): Member | undefined {
-		return this.parts.placement.choose(this.query(call, progress));
+		return this.deps.placement.choose(this.query(call, progress));
 	}
 
-	// All were busy: the call waits at one of them, as a bounce is no refusal.
-	private chooseToWait(call: Call, progress: Progress): Member | undefined {
-		if (progress.bounces === 0 || progress.bounces >= maxBounces) {
+	// All executors were busy: the call queues at one of them instead of being refused.
+	private chooseForQueueing(call: Call, progress: Progress): Member | undefined {
+		if (progress.busyRefusals === 0 || progress.busyRefusals >= maxBusyRefusals) {
 			return undefined;
 		}
 
-		progress.bounces = maxBounces;
+		progress.busyRefusals = maxBusyRefusals;
 		progress.tried.clear();
 		return this.choose(call, progress);
 	}
 
-	// One may come back soon, and a refused caller may have no further try.
+	// An executor may become available soon, and a caller that is refused may have no retry left.
 	private async awaitExecutor(call: Call, progress: Progress): Promise<Member | undefined> {
-		const {clock, placement} = this.parts;
+		const {clock, placement} = this.deps;
 		const until = clock.now() + placement.maxWaitForExecutor(this.query(call, progress));
 		while (clock.now() < until && !call.cancellation.isCanceled) {
-			await pause(clock, awaitPeriod); // eslint-disable-line no-await-in-loop
+			await pause(clock, executorPollInterval); // eslint-disable-line no-await-in-loop
 			const executor = this.choose(call, progress);
 			if (executor) {
 				return executor;
@@ -245,38 +249,38 @@
 		}
 
 		const race = new HedgeRace(first);
-		const sentAt = this.parts.clock.now();
-		const watched: Watched = {call, progress, executor, race, sentAt};
-		const undo = this.watch(watched);
+		const sentAt = this.deps.clock.now();
+		const candidate: HedgeCandidate = {call, progress, executor, race, sentAt};
+		const undo = this.trackHedgeCandidate(candidate);
 		const result = await race.result;
 		undo();
 		return result;
 	}
 
-	private watch(watched: Watched): () => void {
-		const {call, progress, executor} = watched;
-		const ofExecutor = this.watched.get(executor.id) ?? new Set();
-		ofExecutor.add(watched);
-		this.watched.set(executor.id, ofExecutor);
-		const delay = this.parts.placement.hedgeDelay(this.query(call, progress), executor);
-		const undo = delay === undefined ? undefined : this.reconsiderLater(watched, delay);
+	private trackHedgeCandidate(candidate: HedgeCandidate): () => void {
+		const {call, progress, executor} = candidate;
+		const executorCandidates = this.hedgeCandidates.get(executor.id) ?? new Set();
+		executorCandidates.add(candidate);
+		this.hedgeCandidates.set(executor.id, executorCandidates);
+		const delay = this.deps.placement.hedgeDelay(this.query(call, progress), executor);
+		const undo = delay === undefined ? undefined : this.scheduleRecheck(candidate, delay);
 		return () => {
 			undo?.();
-			ofExecutor.delete(watched);
-			if (ofExecutor.size === 0) {
-				this.watched.delete(executor.id);
+			executorCandidates.delete(candidate);
+			if (executorCandidates.size === 0) {
+				this.hedgeCandidates.delete(executor.id);
 			}
 		};
 	}
 
-	// A second attempt that is not worth its cost while the call can be in time may be so when it no
-	// longer can: a late answer is better than none.
-	private reconsiderLater(watched: Watched, delay: Millis): Undo {
-		const {clock} = this.parts;
+	// A hedge that is not worth its cost while the call can still meet its objective may become worth it
+	// once the objective is missed: a late answer is better than none.
+	private scheduleRecheck(candidate: HedgeCandidate, delay: Millis): Undo {
+		const {clock} = this.deps;
 		let undo: Undo = clock.after(delay, () => {
-			this.tryHedge(watched);
-			if (watched.progress.hedges === 0 && watched.race.isOpen) {
-				undo = this.reconsiderLater(watched, reconsiderPeriod);
+			this.tryHedge(candidate);
+			if (candidate.progress.hedges === 0 && candidate.race.isOpen) {
+				undo = this.scheduleRecheck(candidate, hedgeRecheckInterval);
 			}
 		});
 		return () => {
@@ -284,11 +288,11 @@
 		};
 	}
 
-	private tryHedge({call, progress, executor, race, sentAt}: Watched): void {
-		const {clock, placement, metrics, logger} = this.parts;
-		const isOver = call.cancellation.isCanceled || call.deadline.isPast(clock.now());
-		const isSpent = progress.arrivals + 1 >= call.policy.maxAttempts || progress.hedges > 0;
-		if (isOver || isSpent || !race.isOpen) {
+	private tryHedge({call, progress, executor, race, sentAt}: HedgeCandidate): void {
+		const {clock, placement, metrics, logger} = this.deps;
+		const isEnded = call.cancellation.isCanceled || call.deadline.isPast(clock.now());
+		const isLimitReached = progress.arrivals + 1 >= call.policy.maxAttempts || progress.hedges > 0;
+		if (isEnded || isLimitReached || !race.isOpen) {
 			return;
 		}
 
@@ -311,7 +315,7 @@
 	}
 
 	private send(call: Call, executor: Member, progress: Progress): SentAttempt {
-		const {placement, metrics, clock} = this.parts;
+		const {placement, metrics, clock} = this.deps;
 		const cancellation = new Cancellation();
 		const undo = call.cancellation.registerListener(() => {
 			cancellation.cancel();
@@ -325,9 +329,9 @@
 		placement.recordSent(query, executor);
 		const startedAt = clock.now();
 		const run = async (): Promise<AttemptResult> => {
-			const result = await this.parts.runnerTo(executor.id).run(attempt);
-			endWithAnswer(result, undo);
-			this.noteEnd(query, executor, result, startedAt);
+			const result = await this.deps.runnerTo(executor.id).run(attempt);
+			releaseWithAnswer(result, undo);
+			this.recordEnd(query, executor, result, startedAt);
 			return result;
 		};
 
@@ -336,50 +340,51 @@
 
 	private createAttempt(call: Call, progress: Progress, cancellation: Cancellation): Attempt {
 		this.sequence += 1;
-		const id: AttemptId = {instance: this.parts.instance, sequence: this.sequence};
+		const id: AttemptId = {instance: this.deps.instance, sequence: this.sequence};
 		const {head, deadline, objective, body, policy} = call;
-		const isBounceable = progress.bounces < maxBounces && this.bounces.trySpend();
+		const canRetryElsewhere =
+			progress.busyRefusals < maxBusyRefusals && this.retryElsewhereBudget.trySpend();
 		return {
 			id,
 			head,
 			share: policy.share,
 			deadline,
 			objective,
-			canRetryElsewhere: isBounceable,
+			canRetryElsewhere,
 			body,
 			cancellation,
 		};
 	}
 
-	private noteEnd(
+	private recordEnd(
 		query: PlacementQuery,
 		executor: Member,
 		result: AttemptResult,
 		sentAt: Millis,
 	): void {
-		const {placement} = this.parts;
+		const {placement} = this.deps;
 		const load = result.end === AttemptEnd.Unknown ? undefined : result.load;
 		const isAnswered = result.end === AttemptEnd.Answered;
 		const answerBytes = isAnswered ? (result.body.bytes?.length ?? 0) : undefined;
 		const isFailure =
 			(isAnswered && result.status >= serverErrorStatus) || result.end === AttemptEnd.Unknown;
 		placement.recordEnded(query, executor, {sentAt, load, answerBytes, isFailure});
-		const isFault =
+		const isUnavailable =
 			!isAnswered &&
 			(result.reason === RefusalReason.LinkUnreachable ||
 				result.reason === RefusalReason.ExecutorLost ||
 				result.reason === RefusalReason.BackendUnreachable ||
 				result.reason === RefusalReason.BackendReplaced ||
 				result.reason === RefusalReason.NoBackend);
-		if (isFault) {
-			placement.avoid(executor.id, avoidTime);
+		if (isUnavailable) {
+			placement.avoid(executor.id, avoidDuration);
 		}
 	}
 
-	private mayTryAgain(call: Call, result: AttemptResult, progress: Progress): boolean {
-		const {clock} = this.parts;
+	private canRetry(call: Call, result: AttemptResult, progress: Progress): boolean {
+		const {clock} = this.deps;
 		const timeLeft = call.deadline.timeLeft(clock.now());
-		if (call.cancellation.isCanceled || timeLeft < leastRetryTime) {
+		if (call.cancellation.isCanceled || timeLeft < minRetryTime) {
 			return false;
 		}
 
@@ -388,8 +393,8 @@
 		}
 
 		if (result.end === AttemptEnd.Refused) {
-			const isAllowed = this.mayTryElsewhere(call, result.reason, progress);
-			return isAllowed && this.noteRetry(call, RetryReason.NotRun, result.reason);
+			const isAllowed = this.canRetryAfterRefusal(call, result.reason, progress);
+			return isAllowed && this.recordRetry(call, RetryReason.NotRun, result.reason);
 		}
 
 		if (result.end === AttemptEnd.Answered && !isServerFailure(result)) {
@@ -397,57 +402,58 @@
 		}
 
 		const reason = result.end === AttemptEnd.Answered ? RefusalReason.BackendFailed : result.reason;
-		progress.broken += reason === RefusalReason.BackendLost ? 1 : 0;
+		progress.connectionLosses += reason === RefusalReason.BackendLost ? 1 : 0;
 		const isRepeatable =
 			call.head.isIdempotent &&
-			progress.broken < maxBroken &&
+			progress.connectionLosses < maxConnectionLosses &&
 			progress.arrivals < call.policy.maxAttempts;
 		if (!isRepeatable || !this.budgets.trySpendRetry(call.policy.service)) {
 			return false;
 		}
 
-		return this.noteRetry(call, RetryReason.IdempotentFailure, reason);
+		return this.recordRetry(call, RetryReason.IdempotentFailure, reason);
 	}
 
-	private noteRetry(call: Call, kind: RetryReason, reason: RefusalReason): true {
-		this.parts.metrics.retries.inc({reason: kind});
-		this.parts.logger.log(logEvents.callRetried, {
+	private recordRetry(call: Call, kind: RetryReason, reason: RefusalReason): true {
+		this.deps.metrics.retries.inc({reason: kind});
+		this.deps.logger.log(logEvents.callRetried, {
 			request: call.head.origin.requestId,
 			kind,
 			reason,
-			timeLeft: Math.round(call.deadline.timeLeft(this.parts.clock.now())),
+			timeLeft: Math.round(call.deadline.timeLeft(this.deps.clock.now())),
 		});
 		return true;
 	}
 
-	private mayTryElsewhere(call: Call, reason: RefusalReason, progress: Progress): boolean {
+	private canRetryAfterRefusal(call: Call, reason: RefusalReason, progress: Progress): boolean {
 		if (!refusals[reason].canRetryElsewhere) {
 			return false;
 		}
 
 		if (reason === RefusalReason.Busy || reason === RefusalReason.BackendSlow) {
-			progress.bounces += 1;
-			if (progress.bounces >= maxBounces) {
-				// The next attempt waits where it is sent; all executors are open to it again.
+			progress.busyRefusals += 1;
+			if (progress.busyRefusals >= maxBusyRefusals) {
+				// The next attempt queues where it is sent, so all executors are eligible again.
 				progress.tried.clear();
 			}
 
 			return true;
 		}
 
-		if (freeRetries.has(reason)) {
+		if (unbudgetedRefusals.has(reason)) {
 			return true;
 		}
 
 		return (
-			progress.attempts - progress.bounces < call.policy.maxAttempts &&
+			progress.attempts - progress.busyRefusals < call.policy.maxAttempts &&
 			this.budgets.trySpendRetry(call.policy.service)
 		);
 	}
 }
 
-// An answer whose body still streams stays bound to its call, as a body may never end.
-function endWithAnswer(result: AttemptResult, undo: Undo): void {
+// While the body of an answer streams, the deadline or cancellation listener stays registered, since a
+// body may never end.
+function releaseWithAnswer(result: AttemptResult, undo: Undo): void {
 	const stream = result.end === AttemptEnd.Answered ? result.body.stream : undefined;
 	if (stream) {
 		stream.once('close', undo);
@@ -456,7 +462,8 @@
 	}
 }
 
-// A failure that is held as a whole can still be replaced by the answer of another backend server.
+// Only a buffered error response counts: it can still be replaced by the answer of another backend
+// server, whereas a streamed one has already been started.
 function isServerFailure(result: AttemptResult): result is AnsweredAttempt {
 	return (
 		result.end === AttemptEnd.Answered &&
--- a/src/ingress/caller-protocol.ts
+++ b/src/ingress/caller-protocol.ts
@@ -4,7 +4,7 @@
 import type {CallPolicy, DeclarationIndex, ServicePolicy} from '../declaration/index.js';
 import type {Call, CallEnd} from '../exchange/index.js';
 
-/** What a request asks for, before its body is read. */
+/** Parameters of a call, as read from the head of the request. */
 export interface CallParameters {
 	readonly service: ServicePolicy;
 	readonly policy: CallPolicy;
@@ -12,39 +12,43 @@
 	/** The caller's idempotency key, if it sent one. */
 	readonly key: string | undefined;
 	readonly origin: RequestOrigin;
-	/** How long the caller waits, in ms. */
+	/** How long the caller waits for the answer, in ms. */
 	readonly timeout: Millis;
-	/** How long an answer is in time, in ms. */
+	/** Latency objective in ms from the receipt of the request; a later answer is late. */
 	readonly objective: Millis;
-	/** Headers that go on to the backend server. */
+	/** Headers forwarded to the backend server. */
 	readonly headers: HeaderList;
 }
 
-/** A refusal as the caller is told of it. */
+/** A refusal as reported to the caller. */
 export interface RefusalNotice {
 	readonly reason: RefusalReason;
-	/** When to come back, in ms from now; undefined where sending again does not help. */
+	/** When to send the request again, in ms from now; undefined where this does not help. */
 	readonly retryAfter: Millis | undefined;
 }
 
-/** What callers and the ingress tell each other in headers. */
+/** Reads and writes the headers exchanged between callers and the ingress. */
 export interface CallerProtocol {
 	/**
 	 * @param req - a request.
 	 * @param index - the configuration in force.
-	 * @returns what the request asks for.
-	 * @throws {@link RefusedRequestError} when it cannot become a call.
+	 * @returns the parameters of the call.
+	 * @throws {@link RefusedRequestError} when the request is invalid or not allowed.
 	 */
 	readParameters(req: IncomingMessage, index: DeclarationIndex): CallParameters;
-	/** @returns headers that go with a backend server's answer. */
+	/** @returns headers added to the answer of a backend server. */
 	answerHeaders(call: Call, end: CallEnd): HeaderList;
-	/** @returns headers of a refusal. */
+	/** @returns headers added to a refusal. */
 	refusalHeaders(notice: RefusalNotice): HeaderList;
-	/** @returns why a request was refused, with what the caller may conclude from its own headers. */
+	/**
+	 * @param req - a refused request.
+	 * @param reason - why it was refused.
+	 * @returns the reason to report, which depends on the request's own headers.
+	 */
 	refineReason(req: IncomingMessage, reason: RefusalReason): RefusalReason;
 }
 
-/** A request that cannot become a call. */
+/** Thrown for a request that is refused before it becomes a call. */
 export class RefusedRequestError extends Error {
 	override name = 'RefusedRequestError';
 
--- a/src/ingress/fingerprint.ts
+++ b/src/ingress/fingerprint.ts
@@ -3,7 +3,7 @@
 
 const radix = 36;
 
-/** The parts of a request by which equal requests are recognized. */
+/** The fields of a request that identify equal requests. */
 export interface FingerprintInput {
 	readonly service: string;
 	readonly customer: string;
@@ -14,11 +14,11 @@
 }
 
 /**
- * @param parts - parts of a request.
- * @returns a hash that is the same for equal requests; a streamed body does not count.
+ * @param input - the identifying fields of a request.
+ * @returns a hash that is the same for equal requests; a streamed body is not included.
  */
-export function fingerprint(parts: FingerprintInput): string {
-	const {service, customer, method, path, key, body} = parts;
+export function fingerprint(input: FingerprintInput): string {
+	const {service, customer, method, path, key, body} = input;
 	const content = body.bytes && body.bytes.length > 0 ? hashBytes(body.bytes) : '';
 	const text = [service, customer, method, path, key ?? '', content].join('\n');
 	return hash48(text).toString(radix);
--- a/src/ingress/hedge-timer.ts
+++ b/src/ingress/hedge-timer.ts
@@ -5,18 +5,18 @@
 const samplesPerWindow = 200;
 const minSamples = 50;
 const minDelay: Millis = 2;
-const highestDuration = 60_000;
+const maxDurationMs = 60_000;
 
 type Window = {histogram: Histogram; count: number; delay: Millis | undefined};
 
-/** Tells after how long a call is slower than its siblings. */
+/** Estimates the hedge delay of each service as a high percentile of its recent answer times. */
 export class HedgeDelayEstimator {
 	private readonly windows = new Map<string, Window>();
 
 	/**
 	 * @param service - name of a service.
-	 * @returns time after which a second attempt is worth its cost, in ms; undefined while too little
-	 * is known.
+	 * @returns the delay in ms after which a second attempt may be sent; undefined while there are too
+	 * few samples.
 	 */
 	delayFor(service: string): Millis | undefined {
 		return this.windows.get(service)?.delay;
@@ -24,11 +24,11 @@
 
 	/**
 	 * @param service - name of a service.
-	 * @param duration - how long an answer took, in ms.
+	 * @param duration - time from sending the attempt to its answer, in ms.
 	 */
 	add(service: string, duration: Millis): void {
 		const window = this.window(service);
-		window.histogram.recordValue(Math.min(highestDuration, Math.max(1, Math.round(duration))));
+		window.histogram.recordValue(Math.min(maxDurationMs, Math.max(1, Math.round(duration))));
 		window.count += 1;
 		const isFirst = window.delay === undefined && window.count >= minSamples;
 		if (isFirst || window.count >= samplesPerWindow) {
@@ -47,7 +47,7 @@
 		if (!window) {
 			const histogram = build({
 				lowestDiscernibleValue: 1,
-				highestTrackableValue: highestDuration,
+				highestTrackableValue: maxDurationMs,
 				numberOfSignificantValueDigits: 2,
 			});
 			window = {histogram, count: 0, delay: undefined};
--- a/src/ingress/hedge.ts
+++ b/src/ingress/hedge.ts
@@ -3,31 +3,32 @@
 
 const serverErrorStatus = 500;
 
-/** An attempt that is out. */
+/** An attempt that has been sent to an executor. */
 export interface SentAttempt {
 	readonly cancellation: Cancellation;
 	readonly result: Promise<AttemptResult>;
 }
 
-/** What tells more of a call that got no good answer comes later. */
-const tellingOrder = [AttemptEnd.Refused, AttemptEnd.Unknown, AttemptEnd.Answered];
+/** Results of a call without a successful answer, in ascending precedence. */
+const precedence = [AttemptEnd.Refused, AttemptEnd.Unknown, AttemptEnd.Answered];
 
-function moreTelling(a: AttemptResult | undefined, b: AttemptResult): AttemptResult {
-	return a && tellingOrder.indexOf(a.end) > tellingOrder.indexOf(b.end) ? a : b;
+function higherPrecedence(a: AttemptResult | undefined, b: AttemptResult): AttemptResult {
+	return a && precedence.indexOf(a.end) > precedence.indexOf(b.end) ? a : b;
 }
 
 /**
- * Runs attempts of one idempotent call side by side: whichever answers first wins and the others are
- * canceled. Without a good answer, a failure of the backend server counts before an attempt that may
- * have run, and that before a refusal, which would tell that nothing has run.
+ * Runs attempts of one idempotent call in parallel. The first successful answer wins and the other
+ * attempts are canceled. Without a successful answer, an error response of a backend server takes
+ * precedence over an attempt that may have run, and that over a refusal, since a refusal would report
+ * that no attempt has run.
  */
 export class HedgeRace {
-	/** Resolves with the end of the winner. */
+	/** Resolves with the result of the winning attempt. */
 	readonly result: Promise<AttemptResult>;
 	private readonly open = new Set<SentAttempt>();
 	private readonly resolve: (result: AttemptResult) => void;
 	private isSettled = false;
-	private bad: AttemptResult | undefined;
+	private fallback: AttemptResult | undefined;
 
 	constructor(first: SentAttempt) {
 		const {promise, resolve} = withResolvers<AttemptResult>();
@@ -36,13 +37,13 @@
 		this.add(first);
 	}
 
-	/** Whether an attempt could still join. */
+	/** Whether attempts can still be added. */
 	get isOpen(): boolean {
 		return !this.isSettled;
 	}
 
 	/**
-	 * @param attempt - an attempt that joins the race.
+	 * @param attempt - a further attempt of the call.
 	 */
 	add(attempt: SentAttempt): void {
 		this.open.add(attempt);
@@ -53,17 +54,17 @@
 
 	private finish(attempt: SentAttempt, result: AttemptResult): void {
 		this.open.delete(attempt);
-		const isGood = result.end === AttemptEnd.Answered && result.status < serverErrorStatus;
-		this.bad = isGood ? this.bad : moreTelling(this.bad, result);
-		const isWinner = isGood || this.open.size === 0;
-		if (this.isSettled || !isWinner) {
+		const isSuccess = result.end === AttemptEnd.Answered && result.status < serverErrorStatus;
+		this.fallback = isSuccess ? this.fallback : higherPrecedence(this.fallback, result);
+		const isDecided = isSuccess || this.open.size === 0;
+		if (this.isSettled || !isDecided) {
 			return;
 		}
 
 		this.isSettled = true;
-		this.resolve(isGood ? result : (this.bad ?? result));
-		for (const loser of this.open) {
-			loser.cancellation.cancel();
+		this.resolve(isSuccess ? result : (this.fallback ?? result));
+		for (const other of this.open) {
+			other.cancellation.cancel();
 		}
 	}
 }
--- a/src/ingress/ingress.ts
+++ b/src/ingress/ingress.ts
@@ -31,17 +31,16 @@
 import {fingerprint} from './fingerprint.js';
 import {readRequestBody, RequestBodyError} from './request-body.js';
 
-/** What an ingress is made of. */
 export interface IngressDependencies {
 	readonly clock: Clock;
 	readonly metrics: Metrics;
 	readonly logger: Logger;
 	readonly protocol: CallerProtocol;
-	/** Undefined where calls have no keys. */
+	/** Undefined if idempotency keys are not supported. */
 	readonly keyedCalls: KeyedCalls | undefined;
 	/** @returns the configuration in force; undefined while the node is not ready. */
 	configuration(): DeclarationIndex | undefined;
-	/** Runs a call without a key. */
+	/** Runs a call that has no idempotency key or is idempotent. */
 	runCall(call: Call): Promise<CallEnd>;
 }
 
@@ -50,16 +49,16 @@
 const headTimeout: Millis = 10 * second;
 const requestTimeout: Millis = 60 * second;
 const idleTimeout: Millis = 15 * second;
-/** Path that hands out an idempotency key of this node. */
+/** Path that issues an idempotency key owned by this node. */
 const issuePath = '/turmeric/keys';
 
-/** Takes callers' requests over HTTP and answers them. */
+/** HTTP server that accepts callers' requests and answers them. */
 export class Ingress {
 	private readonly server: Server;
 	private readonly calls = new Set<ServerResponse>();
 	private isDraining = false;
 
-	constructor(private readonly parts: IngressDependencies) {
+	constructor(private readonly deps: IngressDependencies) {
 		this.server = createServer(
 			{
 				maxHeaderSize: maxHeaderBytes,
@@ -83,13 +82,13 @@
 		});
 	}
 
-	/** Calls that have not been answered. */
+	/** Number of requests that have not been answered. */
 	get inFlight(): number {
 		return this.calls.size;
 	}
 
 	/**
-	 * @param address - IP number.
+	 * @param address - IP address.
 	 * @param port - TCP port.
 	 */
 	async listen(address: string, port: number): Promise<void> {
@@ -98,7 +97,7 @@
 		});
 	}
 
-	/** Asks callers to go elsewhere: each connection ends with its next answer. */
+	/** Makes callers reconnect to other nodes: each connection is closed after its next answer. */
 	drain(): void {
 		this.isDraining = true;
 	}
@@ -110,16 +109,16 @@
 		this.server.keepAliveTimeout = span;
 	}
 
-	/** Takes no more connections. */
+	/** Stops accepting connections and closes idle ones. */
 	close(): void {
 		this.server.close();
 		this.server.closeIdleConnections();
 	}
 
 	private async handle(req: IncomingMessage, res: ServerResponse): Promise<void> {
-		const startedAt = this.parts.clock.now();
+		const startedAt = this.deps.clock.now();
 		this.calls.add(res);
-		this.parts.metrics.inFlight.set(this.calls.size);
+		this.deps.metrics.inFlight.set(this.calls.size);
 		let outcome = Outcome.NotRun;
 		try {
 			outcome = await this.answer(req, res);
@@ -127,7 +126,7 @@
 			outcome = this.answerError(err, req, res);
 		} finally {
 			this.calls.delete(res);
-			const {metrics, clock} = this.parts;
+			const {metrics, clock} = this.deps;
 			metrics.inFlight.set(this.calls.size);
 			metrics.calls.inc({outcome});
 			metrics.duration.observe({outcome}, (clock.now() - startedAt) / second);
@@ -139,12 +138,12 @@
 			throw new RefusedRequestError(RefusalReason.TooManyCalls);
 		}
 
-		const index = this.parts.configuration();
+		const index = this.deps.configuration();
 		if (!index) {
 			throw new RefusedRequestError(RefusalReason.NotReady);
 		}
 
-		const {keyedCalls} = this.parts;
+		const {keyedCalls} = this.deps;
 		if (keyedCalls && req.url === issuePath && req.method === 'POST') {
 			return this.issueKey(req, res, keyedCalls);
 		}
@@ -156,9 +155,9 @@
 
 	private async run(call: Call): Promise<CallEnd> {
 		const {key} = call.head;
-		const {keyedCalls} = this.parts;
+		const {keyedCalls} = this.deps;
 		if (!keyedCalls || key === undefined || call.head.isIdempotent) {
-			return this.parts.runCall(call);
+			return this.deps.runCall(call);
 		}
 
 		return keyedCalls.run(call, key);
@@ -177,13 +176,14 @@
 		res: ServerResponse,
 		index: DeclarationIndex,
 	): Promise<Call> {
-		const startedAt = this.parts.clock.now();
-		const terms = this.parts.protocol.readParameters(req, index);
+		const startedAt = this.deps.clock.now();
+		const parameters = this.deps.protocol.readParameters(req, index);
 		this.checkLength(req, index);
 		const body = await readRequestBody(req);
-		const head = createHead(req, terms, body);
+		const head = createHead(req, parameters, body);
 		const cancellation = new Cancellation();
-		// A call with a key goes on when its caller is lost, as the caller will send it again.
+		// A call with an idempotency key continues when its caller disconnects, since the caller is expected
+		// to send it again.
 		if (head.key === undefined || head.isIdempotent) {
 			res.once('close', () => {
 				if (!res.writableFinished) {
@@ -192,7 +192,7 @@
 			});
 		}
 
-		const {policy, service, timeout, objective} = terms;
+		const {policy, service, timeout, objective} = parameters;
 		return {
 			head,
 			policy,
@@ -215,7 +215,7 @@
 
 	private async sendEnd(res: ServerResponse, call: Call, end: CallEnd): Promise<Outcome> {
 		const {result} = end;
-		const {protocol} = this.parts;
+		const {protocol} = this.deps;
 		this.logEnd(call, end);
 		if (result.end === AttemptEnd.Answered) {
 			return this.sendAnswer(res, result, protocol.answerHeaders(call, end));
@@ -229,12 +229,12 @@
 	private async sendAnswer(
 		res: ServerResponse,
 		result: AnsweredAttempt,
-		extra: HeaderList,
+		extraHeaders: HeaderList,
 	): Promise<Outcome> {
 		const {body, status, headers} = result;
-		// Framed anew, an answer that broke off would look complete.
+		// With chunked encoding, an undelimited answer that was truncated would look complete.
 		res.useChunkedEncodingByDefault = body.isDelimited;
-		this.writeHead(res, status, [...headers, ...extra]);
+		this.writeHead(res, status, [...headers, ...extraHeaders]);
 		if (body.bytes) {
 			res.end(body.bytes);
 			return Outcome.Answered;
@@ -248,7 +248,7 @@
 			resolve(Outcome.Answered);
 		});
 		stream?.once('error', () => {
-			// The caller must see that the answer is not whole.
+			// Closing the connection shows the caller that the answer is truncated.
 			res.destroy();
 			resolve(Outcome.Unknown);
 		});
@@ -264,7 +264,7 @@
 
 	private logEnd(call: Call, end: CallEnd): void {
 		const {result} = end;
-		const {clock, logger} = this.parts;
+		const {clock, logger} = this.deps;
 		const now = clock.now();
 		const isAnswered = result.end === AttemptEnd.Answered;
 		logger.log(logEvents.callEnded, {
@@ -286,7 +286,7 @@
 	private sendRefusal(res: ServerResponse, notice: RefusalNotice, end?: CallEnd): Outcome {
 		const {reason} = notice;
 		const refusal = refusals[reason];
-		this.parts.metrics.refusals.inc({reason});
+		this.deps.metrics.refusals.inc({reason});
 		const text = `${JSON.stringify({outcome: refusal.outcome, reason, attempts: end?.attempts})}\n`;
 		this.writeHead(res, refusal.status, this.refusalHeaders(notice, text));
 		res.end(text);
@@ -296,25 +296,25 @@
 	private refusalHeaders(notice: RefusalNotice, text: string): HeaderList {
 		const length = String(text.length);
 		const headers = ['content-type', 'application/json', 'content-length', length];
-		return [...headers, ...this.parts.protocol.refusalHeaders(notice)];
+		return [...headers, ...this.deps.protocol.refusalHeaders(notice)];
 	}
 
 	private answerError(err: unknown, req: IncomingMessage, res: ServerResponse): Outcome {
-		const {protocol, logger} = this.parts;
+		const {protocol, logger} = this.deps;
 		if (err instanceof RequestBodyError) {
 			res.destroy();
 			return Outcome.NotRun;
 		}
 
 		if (err instanceof RefusedRequestError && !res.headersSent) {
-			// What is left of the request is not read: the connection ends with the refusal.
+			// The rest of the request is not read, so the connection is closed after the refusal.
 			res.shouldKeepAlive = req.complete;
 			const reason = protocol.refineReason(req, err.reason);
 			logger.log(logEvents.requestRefused, {
 				host: req.headers.host,
 				path: req.url,
 				reason,
-				revision: this.parts.configuration()?.revision,
+				revision: this.deps.configuration()?.revision,
 			});
 			return this.sendRefusal(res, {reason, retryAfter: refusals[reason].retryAfter});
 		}
@@ -331,17 +331,17 @@
 		}
 
 		const reason = RefusalReason.BadRequest;
-		this.parts.metrics.refusals.inc({reason});
-		this.parts.metrics.calls.inc({outcome: Outcome.NotRun});
+		this.deps.metrics.refusals.inc({reason});
+		this.deps.metrics.calls.inc({outcome: Outcome.NotRun});
 		const text = `${JSON.stringify({outcome: Outcome.NotRun, reason, detail: err.code})}\n`;
 		const headers = this.refusalHeaders({reason, retryAfter: refusals[reason].retryAfter}, text);
-		const lines: string[] = [];
+		const headerLines: string[] = [];
 		for (let i = 0; i < headers.length; i += 2) {
-			lines.push(`${headers[i]}: ${headers[i + 1]}\r\n`);
+			headerLines.push(`${headers[i]}: ${headers[i + 1]}\r\n`);
 		}
 
 		socket.end(
-			`HTTP/1.1 ${badRequestStatus(err)}\r\nConnection: close\r\n${lines.join('')}\r\n${text}`,
+			`HTTP/1.1 ${badRequestStatus(err)}\r\nConnection: close\r\n${headerLines.join('')}\r\n${text}`,
 		);
 	}
 
@@ -392,8 +392,8 @@
 	}
 }
 
-function createHead(req: IncomingMessage, terms: CallParameters, body: Body): RequestHead {
-	const {policy, headers, isIdempotent, key, origin} = terms;
+function createHead(req: IncomingMessage, parameters: CallParameters, body: Body): RequestHead {
+	const {policy, headers, isIdempotent, key, origin} = parameters;
 	const {service, customer} = policy;
 	const method = req.method ?? 'GET';
 	const path = req.url ?? '/';
--- a/src/ingress/nearest-first-placement.ts
+++ b/src/ingress/nearest-first-placement.ts
@@ -13,7 +13,6 @@
 } from '../routing/index.js';
 import {HedgeDelayEstimator} from './hedge-timer.js';
 
-/** What a placement is made of. */
 export interface NearestFirstDependencies {
 	readonly clock: Clock;
 	readonly gossip: Gossip;
@@ -21,24 +20,24 @@
 	readonly revisions: Pick<RevisionTracker, 'inForce'>;
 }
 
-/** Bytes of head and framing of a call and its answer. */
+/** Estimated size in bytes of the heads and framing of a call and its answer. */
 const callOverheadBytes = 600;
-const nobody: ReadonlySet<string> = new Set();
+const noneExcluded: ReadonlySet<string> = new Set();
 
 /**
- * Keeps calls within the region as long as their deadline allows it, and crosses the paid link only
- * within its declared budget.
+ * Keeps calls within the region as long as their deadline allows it, and uses a link to another
+ * region, which is charged by traffic, only within its declared budget.
  */
 export class NearestFirstPlacement implements Placement {
 	private readonly linkBudgets: RegionBuckets;
 	private readonly hedgeTimer = new HedgeDelayEstimator();
 
-	constructor(private readonly parts: NearestFirstDependencies) {
-		this.linkBudgets = new RegionBuckets(parts.clock);
+	constructor(private readonly deps: NearestFirstDependencies) {
+		this.linkBudgets = new RegionBuckets(deps.clock);
 	}
 
 	choose(query: PlacementQuery): Member | undefined {
-		const {gossip, routing} = this.parts;
+		const {gossip, routing} = this.deps;
 		const {service, excluded, timeLeft} = query;
 		const candidates = findCandidates(gossip.directory, gossip.localMember, service, excluded);
 		const isNearEnough =
@@ -48,15 +47,15 @@
 			return routing.choose({candidates: candidates.near, timeLeft});
 		}
 
-		const all = [...candidates.near, ...this.affordable(query, candidates.far)];
+		const all = [...candidates.near, ...this.withinLinkBudget(query, candidates.far)];
 		return all.length > 0 ? routing.choose({candidates: all, timeLeft}) : undefined;
 	}
 
 	noExecutorReason(query: PlacementQuery): RefusalReason {
-		const {gossip} = this.parts;
-		const {far} = findCandidates(gossip.directory, gossip.localMember, query.service, nobody);
-		const isHeldByBudget = this.isOtherRegionAllowed(query) && far.length > 0;
-		return isHeldByBudget ? RefusalReason.LinkBudget : RefusalReason.NoBackend;
+		const {gossip} = this.deps;
+		const {far} = findCandidates(gossip.directory, gossip.localMember, query.service, noneExcluded);
+		const isBlockedByBudget = this.isOtherRegionAllowed(query) && far.length > 0;
+		return isBlockedByBudget ? RefusalReason.LinkBudget : RefusalReason.NoBackend;
 	}
 
 	hedgeDelay(query: PlacementQuery): Millis | undefined {
@@ -76,32 +75,32 @@
 	}
 
 	recordSent(query: PlacementQuery, executor: Member): void {
-		this.parts.routing.recordSent(executor.id);
-		if (distanceBetween(this.parts.gossip.localMember, executor) === Distance.OtherRegion) {
+		this.deps.routing.recordSent(executor.id);
+		if (distanceBetween(this.deps.gossip.localMember, executor) === Distance.OtherRegion) {
 			this.linkBudget(executor)?.charge(callOverheadBytes + query.requestBytes);
 		}
 	}
 
 	recordEnded(query: PlacementQuery, executor: Member, news: AttemptOutcome): void {
-		this.parts.routing.recordEnded(executor.id, news.sentAt, news.load);
+		this.deps.routing.recordEnded(executor.id, news.sentAt, news.load);
 		if (news.answerBytes !== undefined) {
-			this.hedgeTimer.add(query.service, this.parts.clock.now() - news.sentAt);
+			this.hedgeTimer.add(query.service, this.deps.clock.now() - news.sentAt);
 		}
 	}
 
 	avoid(id: string, span: Millis): void {
-		this.parts.routing.avoid(id, span);
+		this.deps.routing.avoid(id, span);
 	}
 
 	forget(id: string): void {
-		this.parts.routing.forget(id);
+		this.deps.routing.forget(id);
 	}
 
 	private isOtherRegionAllowed(query: PlacementQuery): boolean {
-		return this.parts.revisions.inForce?.service(query.service)?.isOtherRegionAllowed ?? false;
+		return this.deps.revisions.inForce?.service(query.service)?.isOtherRegionAllowed ?? false;
 	}
 
-	private affordable(query: PlacementQuery, far: readonly Member[]): Member[] {
+	private withinLinkBudget(query: PlacementQuery, far: readonly Member[]): Member[] {
 		if (!this.isOtherRegionAllowed(query)) {
 			return [];
 		}
@@ -110,8 +109,8 @@
 	}
 
 	private linkBudget(member: Member): TokenBucket | undefined {
-		const {localMember: account, directory} = this.parts.gossip;
-		const link = this.parts.revisions.inForce?.link(account.region, member.region);
+		const {localMember: account, directory} = this.deps.gossip;
+		const link = this.deps.revisions.inForce?.link(account.region, member.region);
 		const nodes = directory.countInRegion(account.region);
 		return link && this.linkBudgets.bucket(member.region, link.callBytesPerSecond, nodes);
 	}
--- a/src/ingress/request-body.ts
+++ b/src/ingress/request-body.ts
@@ -6,7 +6,7 @@
 	type Body,
 } from '../exchange/index.js';
 
-/** The caller broke off its request before its end. */
+/** The caller closed the connection before the request was complete. */
 export class RequestBodyError extends Error {
 	override name = 'RequestBodyError';
 }
@@ -14,11 +14,11 @@
 const emptyBody = createBufferedBody(new Uint8Array());
 
 /**
- * Takes the body of a request: a small one as a whole, so that the call can be tried again, and a
- * large one as a stream, so that memory stays bounded.
+ * Reads the body of a request. A small body is buffered so that the call can be retried; a large one
+ * or one of unknown length is streamed so that memory use stays bounded.
  * @param req - the request.
  * @returns the body.
- * @throws {@link RequestBodyError}
+ * @throws {@link RequestBodyError} when the connection closes before the end of a buffered body.
  */
 export async function readRequestBody(req: IncomingMessage): Promise<Body> {
 	const length = req.headers['content-length'];
@@ -38,16 +38,16 @@
 async function collect(req: IncomingMessage, length: number): Promise<Uint8Array> {
 	return new Promise((resolve, reject) => {
 		const bytes = new Uint8Array(length);
-		let at = 0;
+		let offset = 0;
 		req.on('data', (chunk: Uint8Array) => {
-			bytes.set(chunk, at);
-			at += chunk.length;
+			bytes.set(chunk, offset);
+			offset += chunk.length;
 		});
 		req.once('end', () => {
 			resolve(bytes);
 		});
 		req.once('close', () => {
-			reject(new RequestBodyError('the caller broke off its request'));
+			reject(new RequestBodyError('connection closed before the request body was complete'));
 		});
 	});
 }
--- a/src/ingress/turmeric-caller-protocol.ts
+++ b/src/ingress/turmeric-caller-protocol.ts
@@ -24,9 +24,9 @@
 
 const maxKeyLength = 255;
 
-/** The product's own protocol towards callers, who name a service and a customer. */
+/** The default caller protocol, in which headers carry the service and the customer. */
 export class TurmericCallerProtocol implements CallerProtocol {
-	private requests = 0;
+	private requestCount = 0;
 
 	constructor(private readonly instance: string) {}
 
@@ -49,8 +49,8 @@
 		}
 
 		const timeout = readTimeout(req, policy);
-		this.requests += 1;
-		const requestId = readHeader(req, requestIdHeader) ?? `${this.instance}.${this.requests}`;
+		this.requestCount += 1;
+		const requestId = readHeader(req, requestIdHeader) ?? `${this.instance}.${this.requestCount}`;
 		return {
 			service,
 			policy,
@@ -83,7 +83,8 @@
 		return headers;
 	}
 
-	// With a key, a refusal before its home was asked says nothing of earlier copies.
+	// A refusal before the owner of an idempotency key was queried does not tell whether an earlier
+	// request with the same key has run.
 	refineReason(req: IncomingMessage, reason: RefusalReason): RefusalReason {
 		const hasKey = readHeader(req, keyHeader) !== undefined;
 		return hasKey && reason !== RefusalReason.BadRequest ? RefusalReason.KeyNotChecked : reason;
