--- a/src/executor/backend-call.ts
+++ b/src/executor/backend-call.ts
@@ -15,40 +15,40 @@
 import {hasHeader, stripHeaders} from './headers.js';
 import type {ResetWatch} from './reset-watch.js';
 
-/** What the executor says just before the first byte of a request is written. */
+/** Checks whether a request may still be sent, immediately before its first byte is written. */
 export interface WriteGate {
-	/** @returns why the request must not be written; undefined to go on. */
+	/** @returns why the request must not be written; undefined if it may be. */
 	check(): RefusalReason | undefined;
 }
 
-/** How a call at the backend server went. */
+/** How a call to the backend server ended. */
 export interface BackendCallEnd {
 	readonly isFailure: boolean;
-	/** Whether the backend server broke off a call that was in flight. */
+	/** Whether the connection was lost before the answer was complete. */
 	readonly isBroken: boolean;
 }
 
-/** Hears how a call at the backend server goes. */
+/** Receives the events of a call to the backend server. */
 export interface BackendCallListener {
-	/** An answer told the load of the backend server. */
+	/** Called when an answer reports the load of the backend server. */
 	onLoad(load: BackendLoad): void;
-	/** The backend server has answered in full, or will not answer. */
+	/** Called once, when the answer is complete or can no longer be completed. */
 	onEnd(end: BackendCallEnd): void;
 }
 
 const serverErrorStatus = 500;
 
-/** The request was taken back by this node. */
+/** The request was aborted by this node. */
 export class AbortedError extends Error {
 	override name = 'AbortedError';
 }
 
-/** The backend server wrote something else than the answer to the request. */
+/** The backend server sent a response that does not belong to the request. */
 class ForeignAnswerError extends Error {
 	override name = 'ForeignAnswerError';
 }
 
-/** The connection was reset before the answer was whole. */
+/** The connection was reset before the answer was complete. */
 class ResetAnswerError extends Error {
 	override name = 'ResetAnswerError';
 }
@@ -58,18 +58,17 @@
 	[AnswerKind.OtherInstance]: RefusalReason.BackendReplaced,
 };
 
-/** What a call is made of. */
 export interface BackendCallDependencies {
 	readonly requestId: string;
 	readonly protocol: BackendProtocol;
 	readonly resets: ResetWatch;
 	readonly gate: WriteGate;
 	readonly listener: BackendCallListener;
-	/** Takes the end of the call; its body may still stream. */
+	/** Receives the result of the call; the body may still be streaming. */
 	resolve(result: AttemptResult): void;
 }
 
-/** One request on its way to the backend server. */
+/** One request to the backend server. */
 export class BackendCall implements Dispatcher.DispatchHandler {
 	private controller: Dispatcher.DispatchController | undefined;
 	private gateReason: RefusalReason | undefined;
@@ -77,23 +76,23 @@
 	private isEnded = false;
 	private isCanceled = false;
 	private status = 0;
-	private verdict = AnswerKind.Answer;
+	private answerKind = AnswerKind.Answer;
 	private headers: HeaderList = [];
 	private readonly trailers: HeaderList = [];
 	private readonly chunks: Uint8Array[] = [];
-	private heldBytes = 0;
+	private bufferedBytes = 0;
 	private stream: PassThrough | undefined;
 
-	constructor(private readonly parts: BackendCallDependencies) {}
+	constructor(private readonly deps: BackendCallDependencies) {}
 
-	// The library calls this in the loop turn in which it writes the first byte.
+	// The undici library calls this in the same event loop turn in which it writes the first byte.
 	onRequestStart(controller: Dispatcher.DispatchController): void {
 		this.controller = controller;
-		this.gateReason = this.isCanceled ? RefusalReason.DeadlinePassed : this.parts.gate.check();
+		this.gateReason = this.isCanceled ? RefusalReason.DeadlinePassed : this.deps.gate.check();
 		if (this.gateReason === undefined) {
 			this.isWritten = true;
 		} else {
-			controller.abort(new AbortedError('refused before the first byte'));
+			controller.abort(new AbortedError('request refused before its first byte was written'));
 		}
 	}
 
@@ -104,27 +103,28 @@
 
 		this.status = status;
 		this.headers = toHeaderList(controller.rawHeaders);
-		this.verdict = this.parts.protocol.classify(
+		this.answerKind = this.deps.protocol.classify(
 			{status, headers: this.headers},
-			this.parts.requestId,
+			this.deps.requestId,
 		);
-		if (this.verdict === AnswerKind.Foreign) {
-			controller.abort(new ForeignAnswerError('the answer belongs to no request'));
+		if (this.answerKind === AnswerKind.Foreign) {
+			controller.abort(new ForeignAnswerError('response does not belong to the request'));
 			return;
 		}
 
-		const load = this.parts.protocol.readLoad(this.headers);
+		const load = this.deps.protocol.readLoad(this.headers);
 		if (load) {
-			this.parts.listener.onLoad(load);
+			this.deps.listener.onLoad(load);
 		}
 	}
 
-	// An answer is held until it is whole, or too large for that: one that breaks off can be replaced.
+	// An answer is buffered until it is complete or exceeds the limit, since a truncated answer can be
+	// replaced by another attempt only while none of it has been forwarded.
 	onResponseData(controller: Dispatcher.DispatchController, chunk: Uint8Array): void {
 		if (!this.stream) {
 			this.chunks.push(chunk);
-			this.heldBytes += chunk.length;
-			if (this.heldBytes <= maxInlineBodyBytes) {
+			this.bufferedBytes += chunk.length;
+			if (this.bufferedBytes <= maxInlineBodyBytes) {
 				return;
 			}
 
@@ -138,8 +138,11 @@
 	}
 
 	onResponseEnd(controller: Dispatcher.DispatchController): void {
-		if (this.parts.resets.isResetting) {
-			this.onResponseError(controller, new ResetAnswerError('the connection was reset'));
+		if (this.deps.resets.isResetting) {
+			this.onResponseError(
+				controller,
+				new ResetAnswerError('connection reset before the answer was complete'),
+			);
 			return;
 		}
 
@@ -148,7 +151,7 @@
 		if (this.stream) {
 			this.stream.end();
 		} else {
-			this.parts.resolve(this.wholeAnswer());
+			this.deps.resolve(this.createResult());
 		}
 	}
 
@@ -156,7 +159,7 @@
 		if (!this.isWritten) {
 			const reason = this.gateReason ?? RefusalReason.BackendUnreachable;
 			this.end({isFailure: this.gateReason === undefined, isBroken: false});
-			this.parts.resolve(createRefused(reason));
+			this.deps.resolve(createRefused(reason));
 			return;
 		}
 
@@ -164,15 +167,15 @@
 		const isForeign = err instanceof ForeignAnswerError;
 		this.end({isFailure: !isAborted, isBroken: !isAborted && !isForeign});
 		this.stream?.destroy(err);
-		this.parts.resolve(
+		this.deps.resolve(
 			createUnknown(isAborted ? RefusalReason.Canceled : RefusalReason.BackendLost),
 		);
 	}
 
-	/** Tells the backend server that nobody waits for the answer. */
+	/** Aborts the request, as its answer is no longer needed. */
 	cancel(): void {
 		this.isCanceled = true;
-		this.controller?.abort(new AbortedError('canceled'));
+		this.controller?.abort(new AbortedError('call canceled'));
 	}
 
 	private startStream(controller: Dispatcher.DispatchController): void {
@@ -193,7 +196,7 @@
 			}
 		}
 
-		this.parts.resolve({
+		this.deps.resolve({
 			end: AttemptEnd.Answered,
 			status: this.status,
 			headers: stripHeaders(this.headers),
@@ -202,8 +205,8 @@
 		});
 	}
 
-	private wholeAnswer(): AttemptResult {
-		const notRun = notRunReasons[this.verdict];
+	private createResult(): AttemptResult {
+		const notRun = notRunReasons[this.answerKind];
 		if (notRun !== undefined) {
 			return createRefused(notRun);
 		}
@@ -221,12 +224,12 @@
 	private end(end: BackendCallEnd): void {
 		if (!this.isEnded) {
 			this.isEnded = true;
-			this.parts.listener.onEnd(end);
+			this.deps.listener.onEnd(end);
 		}
 	}
 }
 
-// RFC 9112, section 6.3: an answer with neither of these ends with its connection.
+// RFC 9112, section 6.3: an answer with neither header ends when its connection closes.
 function isDelimited(headers: HeaderList): boolean {
 	return hasHeader(headers, 'content-length') || hasHeader(headers, 'transfer-encoding');
 }
--- a/src/executor/backend-client.ts
+++ b/src/executor/backend-client.ts
@@ -12,20 +12,20 @@
 import type {BackendProtocol} from './backend-protocol.js';
 import {ResetWatch} from './reset-watch.js';
 
-/** A backend server to send requests to. */
+/** Address and limits of a backend server. */
 export interface BackendTarget {
 	readonly endpoint: Endpoint;
-	/** Unique for each start of the backend server. */
+	/** Id that is unique to each start of the backend server. */
 	readonly instance: string;
-	/** Connections that it takes at the most. */
+	/** Maximum number of connections to the backend server. */
 	readonly connections: number;
 }
 
-/** Time to open a connection to a backend server on the same VM; a refusal comes at once. */
-const connectTimeout = 1000;
+/** The backend server is on the same VM, where a refused connection is reported immediately. */
+const connectTimeoutMs = 1000;
 
-function protect(stream: Readable): Readable {
-	// The library destroys a body that it gives up; the caller's socket must outlive that.
+function copyStream(stream: Readable): Readable {
+	// The undici library destroys the body of an aborted request; the caller's socket must stay open.
 	const copy = new PassThrough({highWaterMark: maxInlineBodyBytes});
 	stream.pipe(copy);
 	stream.once('error', (err) => {
@@ -33,7 +33,7 @@
 	});
 	stream.once('close', () => {
 		if (!stream.readableEnded) {
-			copy.destroy(new AbortedError('the caller broke off its request'));
+			copy.destroy(new AbortedError('request body truncated: the caller closed the connection'));
 		}
 	});
 	return copy;
@@ -54,15 +54,15 @@
 			pipelining: 1,
 			headersTimeout: 0,
 			bodyTimeout: 0,
-			connect: this.resets.createConnector(connectTimeout),
+			connect: this.resets.createConnector(connectTimeoutMs),
 		});
 	}
 
 	/**
-	 * @param attempt - what to send.
-	 * @param gate - asked right before the first byte is written.
-	 * @param listener - hears of the end.
-	 * @returns how it ended; the body may still stream.
+	 * @param attempt - the attempt to send.
+	 * @param gate - checked immediately before the first byte is written.
+	 * @param listener - receives the load and the end of the call.
+	 * @returns the result; its body may still be streaming.
 	 */
 	async send(
 		attempt: Attempt,
@@ -83,19 +83,19 @@
 					path: head.path,
 					method: head.method,
 					headers: this.protocol.requestHeaders(attempt, timeLeft, this.target.instance),
-					body: body.stream ? protect(body.stream) : emptyToNone(body.bytes),
+					body: body.stream ? copyStream(body.stream) : undefinedIfEmpty(body.bytes),
 				},
 				call,
 			);
 		});
 	}
 
-	/** Closes the connections as their calls end. */
+	/** Closes each connection once its calls have ended. */
 	close(): void {
 		void this.pool.close();
 	}
 }
 
-function emptyToNone(bytes: Uint8Array | undefined): Uint8Array | undefined {
+function undefinedIfEmpty(bytes: Uint8Array | undefined): Uint8Array | undefined {
 	return bytes && bytes.length > 0 ? bytes : undefined;
 }
--- a/src/executor/backend-protocol.ts
+++ b/src/executor/backend-protocol.ts
@@ -3,66 +3,66 @@
 import type {Attempt} from '../exchange/index.js';
 import {hasHeader} from './headers.js';
 
-/** What the head of a backend server's answer says about the request. */
+/** Classification of a response by its head. */
 export enum AnswerKind {
 	/** The answer to the request. */
 	Answer = 'answer',
-	/** The backend server refused the request before any work. */
+	/** The backend server refused the request before doing any work. */
 	NotRun = 'not-run',
-	/** Another backend server listens at the address; it did not run the request. */
+	/** Another backend server listens at the address and did not run the request. */
 	OtherInstance = 'other-instance',
-	/** Not the answer to this request, or not what the backend server wrote. */
+	/** Not an answer to this request, or altered in transit. */
 	Foreign = 'foreign',
 }
 
-/** Head of an answer. */
+/** Status and headers of a response. */
 export interface AnswerHead {
 	readonly status: number;
 	readonly headers: HeaderList;
 }
 
-/** What a backend server says of its own load. */
+/** Load as reported by a backend server. */
 export interface BackendLoad {
 	readonly running: number;
 	readonly waiting: number;
 	readonly slots: number;
-	/** How many times longer than usual work takes at this moment; 1 is usual. */
+	/** Factor by which calls currently take longer than usual; 1 is usual. */
 	readonly slowdown: number;
 }
 
-/** What the node and its backend server tell each other in headers. */
+/** Writes and reads the headers exchanged between the node and its backend server. */
 export interface BackendProtocol {
 	/**
-	 * @param attempt - what is sent.
-	 * @param timeLeft - how long the backend server may work on it, in ms.
-	 * @param instance - the backend server that is meant.
-	 * @returns headers of the request.
+	 * @param attempt - the attempt to send.
+	 * @param timeLeft - time until the deadline of the attempt, in ms.
+	 * @param instance - instance of the backend server that the request is meant for.
+	 * @returns the headers of the request.
 	 */
 	requestHeaders(attempt: Attempt, timeLeft: Millis, instance: string): HeaderList;
 	/**
-	 * @param head - head of an answer.
+	 * @param head - head of a response.
 	 * @param requestId - id of the request that was sent.
-	 * @returns what the answer is.
+	 * @returns the kind of the response.
 	 */
 	classify(head: AnswerHead, requestId: string): AnswerKind;
 	/**
 	 * @param headers - headers of an answer.
-	 * @returns which start of the backend server answered; undefined where it does not tell.
+	 * @returns the instance of the backend server that answered; undefined if the headers do not name it.
 	 */
 	readInstance(headers: HeaderList): string | undefined;
 	/**
 	 * @param headers - headers of an answer.
-	 * @returns the load that they tell; undefined where they tell none.
+	 * @returns the reported load; undefined if the headers report none.
 	 */
 	readLoad(headers: HeaderList): BackendLoad | undefined;
 }
 
 const refusedStatus = 503;
 
-/** With status 503, says that the backend server refused the request before any work. */
+/** With status 503, marks a request that the backend server refused before doing any work. */
 export const refusedBeforeWorkHeader = 'turmeric-refused';
 
-/** The product's own protocol towards backend servers. */
+/** The default protocol between a node and its backend server. */
 export class TurmericBackendProtocol implements BackendProtocol {
 	requestHeaders(attempt: Attempt): HeaderList {
 		return attempt.head.headers;
--- a/src/executor/executor.ts
+++ b/src/executor/executor.ts
@@ -28,98 +28,103 @@
 import {BackendClient, type BackendTarget} from './backend-client.js';
 import type {BackendProtocol} from './backend-protocol.js';
 
-/** Keeps back requests that crash backend servers. */
+/** Holds back requests that have crashed backend servers. */
 export interface CrashWatch {
 	/**
-	 * @param fingerprint - of a request.
-	 * @returns whether it must not run now.
+	 * @param fingerprint - fingerprint of a request.
+	 * @returns whether the request is held back and must not run now.
 	 */
 	isHeld(fingerprint: string): boolean;
-	/** A request was answered, so it does not crash backend servers. */
+	/**
+	 * Records that a request was answered and so did not crash the backend server.
+	 * @param fingerprint - fingerprint of the request.
+	 */
 	recordAnswered(fingerprint: string): void;
 	/**
-	 * The backend server broke off calls that were in flight.
-	 * @param fingerprints - the requests that were in flight.
+	 * Records that a connection to the backend server was lost before the answer was complete.
+	 * @param fingerprints - fingerprints of all requests that were in flight at that time.
 	 */
 	recordBroken(fingerprints: readonly string[]): void;
 }
 
-/** What an executor is made of. */
 export interface ExecutorDependencies {
 	readonly clock: Clock;
 	readonly metrics: Metrics;
 	readonly logger: Logger;
 	readonly protocol: BackendProtocol;
 	readonly crashWatch: CrashWatch;
-	/** The backend server takes no connections, or another one listens at its address. */
+	/** Called when the backend server accepts no connections or another one listens at its address. */
 	onBackendUnreachable(): void;
-	/** The load has changed so much that others should know. */
+	/** Called when the load has changed enough to be broadcast to other nodes. */
 	onLoadChanged(): void;
 	/**
-	 * Asks the backend server how fast it works now, where it can tell.
-	 * @returns when it has told, or will not in time.
+	 * Queries the current speed of the backend server, if it supports this.
+	 * @returns a promise that resolves with the answer or a time-out.
 	 */
 	probeSpeed(): Promise<void>;
 }
 
 type Target = {client: BackendClient; service: string; instance: string};
-type Running = {
-	ticket: AdmissionRequest;
+type RunningAttempt = {
+	request: AdmissionRequest;
 	startedAt: Millis;
 	waited: Millis;
 	slowdown: number;
-	isCrowded: boolean;
+	isSaturated: boolean;
 };
 
-const sweepPeriod: Millis = 20;
-const expiryPeriod: Millis = 1000;
-/** Age from which on a reading of the speed is too old for a call that cannot be moved once it runs. */
-const unsafeFreshness: Millis = 40;
-/** The same for calls that can get a second attempt elsewhere. */
-const safeFreshness: Millis = 150;
-/** The same while calls are held for the end of a slow spell. */
-const heldFreshness: Millis = 30;
-/** Factor between two speeds from which on a change is worth a message to the callers' nodes. */
-const notableChange = 1.5;
-/** Share of busy slots from which on down a backend server that was full counts as free. */
-const freeShare = 0.8;
-
-/** Runs attempts on the node's own backend server, and is the only one that can say "not run". */
+const sweepInterval: Millis = 20;
+const expiryInterval: Millis = 1000;
+/** Maximum age of a speed sample for a call that is not idempotent, as it cannot be hedged elsewhere. */
+const maxSpeedAgeNonIdempotent: Millis = 40;
+/** Maximum age of a speed sample for an idempotent call, which can be hedged elsewhere. */
+const maxSpeedAgeIdempotent: Millis = 150;
+/** Maximum age of a speed sample while calls are held until the end of a slow period. */
+const maxSpeedAgeWhileHolding: Millis = 30;
+/** Ratio of two slowdowns above which the change is reported to the callers' nodes. */
+const minReportedSpeedRatio = 1.5;
+/** Load per slot at or below which a backend server that was reported as full is reported as free. */
+const freeLoadShare = 0.8;
+
+/**
+ * Runs attempts on the node's own backend server. Only the executor can establish that an attempt was
+ * not run.
+ */
 export class Executor implements AttemptRunner {
 	private readonly ledger = new AttemptLedger();
 	private readonly admission: Admission;
 	private readonly speed = new BackendSpeed();
 	private readonly profiles = new CallProfiles();
-	private readonly crowding = new Saturation();
+	private readonly saturation = new Saturation();
 	private limits: AdmissionLimits = {slots: 1, queue: 0};
-	private readonly inFlight = new Map<Attempt, Running>();
+	private readonly inFlight = new Map<Attempt, RunningAttempt>();
 	private target: Target | undefined;
 	private isDraining = false;
 	private isSweeping = false;
-	private isToldFull = false;
-	private askedAt = Number.NEGATIVE_INFINITY;
+	private isReportedFull = false;
+	private lastRequestAt = Number.NEGATIVE_INFINITY;
 	private warmUpSlowdown = 1;
 
-	constructor(private readonly parts: ExecutorDependencies) {
-		this.admission = new Admission(parts.clock, this.limits);
-		parts.clock.repeat(expiryPeriod, () => {
-			this.ledger.expire(parts.clock.now());
+	constructor(private readonly deps: ExecutorDependencies) {
+		this.admission = new Admission(deps.clock, this.limits);
+		deps.clock.repeat(expiryInterval, () => {
+			this.ledger.expire(deps.clock.now());
 		});
 	}
 
-	/** Calls that run or wait here. */
+	/** Number of calls that run or are queued. */
 	get callCount(): number {
 		return this.admission.inFlight + this.admission.queued;
 	}
 
-	/** Age of what is known of the backend server's speed, in ms. */
+	/** Age of the last speed sample of the backend server, in ms. */
 	get speedAge(): Millis {
-		return this.speed.age(this.parts.clock.now());
+		return this.speed.age(this.deps.clock.now());
 	}
 
-	/** Time since a call last asked to run here, in ms. */
+	/** Time since the last attempt arrived, in ms. */
 	get idleTime(): Millis {
-		return this.parts.clock.now() - this.askedAt;
+		return this.deps.clock.now() - this.lastRequestAt;
 	}
 
 	/** Service of the backend server; undefined while there is none. */
@@ -128,18 +133,18 @@
 	}
 
 	/**
-	 * A backend server has announced itself.
-	 * @param backend - where it listens and who it is.
-	 * @param service - the service that it belongs to.
+	 * Attaches a backend server that has announced itself.
+	 * @param backend - its endpoint, instance and connection limit.
+	 * @param service - the service that it provides.
 	 */
 	attach(backend: BackendTarget, service: string): void {
-		const {protocol, clock} = this.parts;
+		const {protocol, clock} = this.deps;
 		const client = new BackendClient(backend, protocol, clock);
 		this.target = {client, service, instance: backend.instance};
 		this.isDraining = false;
 	}
 
-	/** The backend server is gone; what was in flight ends as its connections break. */
+	/** Detaches the backend server. Calls in flight end with their connections, queued ones are refused. */
 	detach(): void {
 		this.target?.client.close();
 		this.target = undefined;
@@ -147,45 +152,45 @@
 	}
 
 	/**
-	 * @param slots - calls that may run at once.
-	 * @param queue - calls that may wait.
+	 * @param slots - number of calls that may run concurrently.
+	 * @param queue - number of calls that may be queued.
 	 */
 	setLimits(slots: number, queue: number): void {
 		this.limits = {slots, queue};
-		this.admission.setLimits({slots: this.crowding.limit(slots, this.parts.clock.now()), queue});
+		this.admission.setLimits({slots: this.saturation.limit(slots, this.deps.clock.now()), queue});
 	}
 
 	/**
-	 * @param slowdown - how many times longer than usual work takes as the backend server has just
+	 * @param slowdown - factor by which calls take longer than usual because the backend server has just
 	 * started; 1 when it is warm.
 	 */
 	setWarmUp(slowdown: number): void {
 		this.warmUpSlowdown = slowdown;
 	}
 
-	/** Takes no new work; what waits is handed back, what runs is finished. */
+	/** Refuses new and queued calls; running calls are completed. */
 	drain(): void {
 		this.isDraining = true;
 		this.admission.refuseQueue(RefusalReason.Draining);
 	}
 
-	/** @returns the load of the backend server now. */
+	/** @returns the current load of the backend server. */
 	report(): LoadReport {
-		const slowdown = Math.max(this.speed.slowdown(this.parts.clock.now()), this.warmUpSlowdown);
+		const slowdown = Math.max(this.speed.slowdown(this.deps.clock.now()), this.warmUpSlowdown);
 		return {...this.admission.report(), slowdown};
 	}
 
 	/**
-	 * @param id - an attempt.
-	 * @returns what became of it; it is fenced if it has not run.
+	 * @param id - id of an attempt.
+	 * @returns the state of the attempt. An attempt that has not run is fenced, so that it never will.
 	 */
 	queryAndFence(id: AttemptId): AttemptState {
-		return this.ledger.queryAndFence(id, this.parts.clock.now());
+		return this.ledger.queryAndFence(id, this.deps.clock.now());
 	}
 
 	/**
 	 * @param requestId - id of a request.
-	 * @returns whether it extends the id of a request that runs here, as ids of inner calls do.
+	 * @returns whether the id extends the id of a request that runs here, as the ids of nested calls do.
 	 */
 	isRunningParentOf(requestId: string): boolean {
 		for (const {head} of this.inFlight.keys()) {
@@ -199,30 +204,30 @@
 	}
 
 	/**
-	 * The backend server told how fast it works.
-	 * @param slowdown - how many times longer than usual work takes.
+	 * Records a speed sample that the backend server has reported.
+	 * @param slowdown - factor by which calls take longer than usual.
 	 */
 	readSpeed(slowdown: number): void {
-		const now = this.parts.clock.now();
+		const now = this.deps.clock.now();
 		const before = this.speed.slowdown(now);
 		this.speed.addReading(slowdown, now);
 		this.admission.dispatch();
-		if (Math.max(before / slowdown, slowdown / before) > notableChange) {
-			this.parts.onLoadChanged();
+		if (Math.max(before / slowdown, slowdown / before) > minReportedSpeedRatio) {
+			this.deps.onLoadChanged();
 		}
 	}
 
 	async run(attempt: Attempt): Promise<AttemptResult> {
-		this.askedAt = this.parts.clock.now();
+		this.lastRequestAt = this.deps.clock.now();
 		const result = await this.admit(attempt);
 		if (result.end === AttemptEnd.Refused) {
 			const {reason} = result;
 			if (reason === RefusalReason.BackendUnreachable || reason === RefusalReason.BackendReplaced) {
-				this.parts.onBackendUnreachable();
+				this.deps.onBackendUnreachable();
 			}
 
 			this.ledger.markRefused(attempt.id);
-			this.parts.metrics.attemptRefusals.inc({reason});
+			this.deps.metrics.attemptRefusals.inc({reason});
 			this.logRefused(attempt, reason);
 			return {...result, load: this.report()};
 		}
@@ -231,31 +236,31 @@
 	}
 
 	private async admit(attempt: Attempt): Promise<AttemptResult> {
-		if (!this.ledger.admit(attempt.id, this.parts.clock.now())) {
+		if (!this.ledger.admit(attempt.id, this.deps.clock.now())) {
 			return createRefused(RefusalReason.Fenced);
 		}
 
-		const reason = this.refusalFor(attempt);
+		const reason = this.refusalReason(attempt);
 		if (reason !== undefined) {
 			return createRefused(reason);
 		}
 
-		if (this.speedAge > freshness(attempt)) {
-			await this.parts.probeSpeed();
+		if (this.speedAge > maxSpeedAge(attempt)) {
+			await this.deps.probeSpeed();
 		}
 
 		return this.enterQueue(attempt);
 	}
 
 	private async enterQueue(attempt: Attempt): Promise<AttemptResult> {
-		const reason = this.refusalFor(attempt);
+		const reason = this.refusalReason(attempt);
 		if (reason !== undefined) {
 			return createRefused(reason);
 		}
 
 		const {promise, resolve} = withResolvers<AttemptResult>();
-		const askedAt = this.parts.clock.now();
-		const ticket: AdmissionRequest = {
+		const requestedAt = this.deps.clock.now();
+		const request: AdmissionRequest = {
 			priority: attempt.head.origin.priority,
 			objective: attempt.objective,
 			work: this.expectedWork(attempt),
@@ -265,42 +270,42 @@
 			canRetryElsewhere: attempt.canRetryElsewhere,
 			startDelay: () => this.holdTime(attempt),
 			start: () => {
-				const waited = this.parts.clock.now() - askedAt;
-				void this.send(attempt, ticket, waited).then(resolve);
+				const waited = this.deps.clock.now() - requestedAt;
+				void this.send(attempt, request, waited).then(resolve);
 			},
 			refuse(refusal) {
 				resolve(createRefused(refusal));
 			},
 		};
 		attempt.cancellation.registerListener(() => {
-			if (this.admission.withdraw(ticket)) {
+			if (this.admission.withdraw(request)) {
 				resolve(createRefused(RefusalReason.DeadlinePassed));
 			}
 		});
-		this.admission.submit(ticket);
-		this.sweepLater();
+		this.admission.submit(request);
+		this.scheduleSweep();
 		return promise;
 	}
 
-	// The timer runs only while calls wait, as an idle node should cost next to nothing.
-	private sweepLater(): void {
+	// The timer runs only while calls are queued, so that an idle node uses almost no CPU time.
+	private scheduleSweep(): void {
 		if (this.isSweeping || this.admission.queued === 0) {
 			return;
 		}
 
 		this.isSweeping = true;
-		this.parts.clock.after(sweepPeriod, () => {
+		this.deps.clock.after(sweepInterval, () => {
 			this.isSweeping = false;
 			this.admission.sweep();
-			this.watchSpell();
-			this.sweepLater();
+			this.probeWhileSlow();
+			this.scheduleSweep();
 		});
 	}
 
-	// Calls that are held need to know at once when the spell has ended.
-	private watchSpell(): void {
-		if (this.speed.isSlow && this.speedAge > heldFreshness) {
-			void this.parts.probeSpeed();
+	// Frequent samples release held calls soon after a slow period has ended.
+	private probeWhileSlow(): void {
+		if (this.speed.isSlow && this.speedAge > maxSpeedAgeWhileHolding) {
+			void this.deps.probeSpeed();
 		}
 	}
 
@@ -310,20 +315,21 @@
 		}
 
 		const work = this.expectedWork(attempt);
-		const timeLeft = attempt.deadline.timeLeft(this.parts.clock.now());
+		const timeLeft = attempt.deadline.timeLeft(this.deps.clock.now());
 		const slowdown = this.speed.lastSlowdown / this.speed.baseline;
-		const spellLeft = this.speed.slowPeriodLeft();
-		return shouldDelayStart({work, slowdown, slowPeriodLeft: spellLeft, timeLeft}) ? spellLeft : 0;
+		const remaining = this.speed.slowPeriodLeft();
+		return shouldDelayStart({work, slowdown, slowPeriodLeft: remaining, timeLeft}) ? remaining : 0;
 	}
 
-	// Outside of slow spells; a cold backend server takes longer all the time.
+	// Duration in ms expected outside of slow periods; a cold backend server is slower throughout its
+	// warm-up.
 	private expectedWork({head, objective}: Attempt): Millis {
-		const timeLeft = objective.timeLeft(this.parts.clock.now());
+		const timeLeft = objective.timeLeft(this.deps.clock.now());
 		const {work} = this.profiles.of(head.origin.route, timeLeft);
 		return Math.max(1, work) * Math.max(this.speed.baseline, this.warmUpSlowdown);
 	}
 
-	private refusalFor(attempt: Attempt): RefusalReason | undefined {
+	private refusalReason(attempt: Attempt): RefusalReason | undefined {
 		if (this.isDraining) {
 			return RefusalReason.Draining;
 		}
@@ -332,26 +338,26 @@
 			return RefusalReason.NoBackend;
 		}
 
-		const isHeld = this.parts.crashWatch.isHeld(attempt.head.fingerprint);
+		const isHeld = this.deps.crashWatch.isHeld(attempt.head.fingerprint);
 		return isHeld ? RefusalReason.Held : undefined;
 	}
 
 	private async send(
 		attempt: Attempt,
-		ticket: AdmissionRequest,
+		request: AdmissionRequest,
 		waited: Millis,
 	): Promise<AttemptResult> {
 		const {target} = this;
 		if (!target) {
-			this.admission.release(ticket, false);
+			this.admission.release(request, false);
 			return createRefused(RefusalReason.NoBackend);
 		}
 
-		const now = this.parts.clock.now();
+		const now = this.deps.clock.now();
 		const slowdown = this.speed.slowdown(now);
-		const isCrowded = this.crowding.isSaturated(this.inFlight.size + 1, this.limits.slots);
-		this.inFlight.set(attempt, {ticket, startedAt: now, waited, slowdown, isCrowded});
-		this.noteLevel();
+		const isSaturated = this.saturation.isSaturated(this.inFlight.size + 1, this.limits.slots);
+		this.inFlight.set(attempt, {request, startedAt: now, waited, slowdown, isSaturated});
+		this.reportIfFullOrFree();
 		const result = await target.client.send(
 			attempt,
 			{check: () => this.checkBeforeWrite(attempt)},
@@ -367,9 +373,10 @@
 		return result;
 	}
 
-	// Nothing lies between this check and the write, so a pause of the process cannot come between.
+	// Runs in the same event loop turn as the write of the first byte, with nothing in between, so that a
+	// pause of the process cannot make a passed check stale.
 	private checkBeforeWrite(attempt: Attempt): RefusalReason | undefined {
-		if (attempt.cancellation.isCanceled || attempt.deadline.isPast(this.parts.clock.now())) {
+		if (attempt.cancellation.isCanceled || attempt.deadline.isPast(this.deps.clock.now())) {
 			return RefusalReason.DeadlinePassed;
 		}
 
@@ -377,34 +384,34 @@
 			return RefusalReason.Draining;
 		}
 
-		if (this.parts.crashWatch.isHeld(attempt.head.fingerprint)) {
+		if (this.deps.crashWatch.isHeld(attempt.head.fingerprint)) {
 			return RefusalReason.Held;
 		}
 
 		return this.ledger.markRan(attempt.id) ? undefined : RefusalReason.Fenced;
 	}
 
-	// Others are told when the backend server becomes full or free again; answers tell the rest.
-	private noteLevel(): void {
+	// A change between full and free is broadcast; other changes reach callers with the load in answers.
+	private reportIfFullOrFree(): void {
 		const {inFlight, queued, slots} = this.admission.report();
 		const share = (inFlight + queued) / Math.max(1, slots);
-		if (this.isToldFull ? share <= freeShare : share >= 1) {
-			this.isToldFull = !this.isToldFull;
-			this.parts.onLoadChanged();
+		if (this.isReportedFull ? share <= freeLoadShare : share >= 1) {
+			this.isReportedFull = !this.isReportedFull;
+			this.deps.onLoadChanged();
 		}
 	}
 
 	private logRefused(attempt: Attempt, reason: RefusalReason): void {
 		const {inFlight, queued, slots, slowdown} = this.report();
-		this.parts.logger.log(logEvents.attemptRefused, {
+		this.deps.logger.log(logEvents.attemptRefused, {
 			request: attempt.head.origin.requestId,
 			reason,
 			running: inFlight,
 			queued,
 			slots,
 			slowdown: Math.round(slowdown * 100) / 100,
-			speedAge: Math.round(this.speed.age(this.parts.clock.now())),
-			timeLeft: Math.round(attempt.deadline.timeLeft(this.parts.clock.now())),
+			speedAge: Math.round(this.speed.age(this.deps.clock.now())),
+			timeLeft: Math.round(attempt.deadline.timeLeft(this.deps.clock.now())),
 		});
 	}
 
@@ -414,44 +421,44 @@
 			return;
 		}
 
-		const {ticket} = running;
-		this.learn(attempt, running, isFailure);
+		const {request} = running;
+		this.recordRun(attempt, running, isFailure);
 		this.logEnded(attempt, running, isFailure, isBroken);
 
 		if (isBroken) {
 			const fingerprints = [...this.inFlight.keys()].map((other) => other.head.fingerprint);
-			this.parts.crashWatch.recordBroken(fingerprints);
+			this.deps.crashWatch.recordBroken(fingerprints);
 		} else if (!isFailure) {
-			this.parts.crashWatch.recordAnswered(attempt.head.fingerprint);
+			this.deps.crashWatch.recordAnswered(attempt.head.fingerprint);
 		}
 
 		this.inFlight.delete(attempt);
-		this.admission.release(ticket, isFailure);
-		this.noteLevel();
+		this.admission.release(request, isFailure);
+		this.reportIfFullOrFree();
 	}
 
-	private learn(attempt: Attempt, running: Running, isFailure: boolean): void {
-		const isWhole = !isFailure && !attempt.cancellation.isCanceled;
-		if (!isWhole || !isUsualSpeed(running.slowdown) || this.warmUpSlowdown > 1) {
+	private recordRun(attempt: Attempt, running: RunningAttempt, isFailure: boolean): void {
+		const isComplete = !isFailure && !attempt.cancellation.isCanceled;
+		if (!isComplete || !isUsualSpeed(running.slowdown) || this.warmUpSlowdown > 1) {
 			return;
 		}
 
-		const ran = this.parts.clock.now() - running.startedAt;
+		const ran = this.deps.clock.now() - running.startedAt;
 		const {route} = attempt.head.origin;
-		this.crowding.recordRun(running.isCrowded, ran, this.profiles.of(route, ran).work);
-		if (!running.isCrowded) {
+		this.saturation.recordRun(running.isSaturated, ran, this.profiles.of(route, ran).work);
+		if (!running.isSaturated) {
 			this.profiles.add(route, ran, 0);
 		}
 	}
 
 	private logEnded(
 		attempt: Attempt,
-		running: Running,
+		running: RunningAttempt,
 		isFailure: boolean,
 		isBroken: boolean,
 	): void {
-		const now = this.parts.clock.now();
-		this.parts.logger.log(logEvents.attemptEnded, {
+		const now = this.deps.clock.now();
+		this.deps.logger.log(logEvents.attemptEnded, {
 			request: attempt.head.origin.requestId,
 			route: attempt.head.origin.route,
 			backend: this.target?.instance,
@@ -468,6 +475,6 @@
 	}
 }
 
-function freshness(attempt: Attempt): Millis {
-	return attempt.head.isIdempotent ? safeFreshness : unsafeFreshness;
+function maxSpeedAge(attempt: Attempt): Millis {
+	return attempt.head.isIdempotent ? maxSpeedAgeIdempotent : maxSpeedAgeNonIdempotent;
 }
--- a/src/executor/headers.ts
+++ b/src/executor/headers.ts
@@ -1,6 +1,6 @@
 import type {HeaderList} from '../call/index.js';
 
-/** Headers that belong to one connection. Source: RFC 9110, section 7.6.1. */
+/** Hop-by-hop headers, which apply to one connection only (RFC 9110, section 7.6.1). */
 const hopByHopHeaders: ReadonlySet<string> = new Set([
 	'connection',
 	'keep-alive',
@@ -15,7 +15,7 @@
 
 const productPrefix = 'turmeric-';
 
-function namedByConnection(headers: HeaderList): ReadonlySet<string> {
+function connectionHeaderNames(headers: HeaderList): ReadonlySet<string> {
 	const names = new Set<string>();
 	for (let i = 0; i < headers.length; i += 2) {
 		if (headers[i]!.toLowerCase() === 'connection') {
@@ -29,11 +29,11 @@
 }
 
 /**
- * @param headers - as they came from a caller or a backend server.
- * @returns what may be passed on: no header of one connection, and none that only this product sets.
+ * @param headers - headers received from a caller or a backend server.
+ * @returns the headers to forward: without hop-by-hop headers and those that only Turmeric sets.
  */
 export function stripHeaders(headers: HeaderList): HeaderList {
-	const named = namedByConnection(headers);
+	const named = connectionHeaderNames(headers);
 	const kept: HeaderList = [];
 	for (let i = 0; i < headers.length; i += 2) {
 		const name = headers[i]!.toLowerCase();
@@ -49,8 +49,8 @@
 
 /**
  * @param headers - a header list.
- * @param name - name of a header, in small letters.
- * @returns its first value; undefined where there is none.
+ * @param name - name of a header, in lower case.
+ * @returns its first value; undefined if the header is absent.
  */
 export function headerValue(headers: HeaderList, name: string): string | undefined {
 	for (let i = 0; i < headers.length; i += 2) {
@@ -64,8 +64,8 @@
 
 /**
  * @param headers - a header list.
- * @param name - name of a header, in small letters.
- * @returns whether it is there.
+ * @param name - name of a header, in lower case.
+ * @returns whether the header is present.
  */
 export function hasHeader(headers: HeaderList, name: string): boolean {
 	return headerValue(headers, name) !== undefined;
--- a/src/executor/reset-watch.ts
+++ b/src/executor/reset-watch.ts
@@ -2,32 +2,32 @@
 import type {Millis} from '../clock/index.js';
 
 /**
- * Tells whether an answer ends because its connection was reset. The HTTP library takes the reset of
- * a connection that would not be kept for the end of its answer; an answer without a length would
- * then look whole.
+ * Detects answers that end because their connection was reset. On a connection that is not kept alive,
+ * undici reports a reset as the end of the answer, so that a truncated answer without a length would
+ * look complete.
  */
 export class ResetWatch {
-	private isInside = false;
+	private isHandlingReset = false;
 
-	/** Whether the code that asks runs inside the handling of a reset. */
+	/** Whether the current code runs while the reset of a connection is being handled. */
 	get isResetting(): boolean {
-		return this.isInside;
+		return this.isHandlingReset;
 	}
 
 	/**
-	 * @param timeout - time to open a connection, in ms.
-	 * @returns a connector whose sockets are watched.
+	 * @param timeout - time-out for opening a connection, in ms.
+	 * @returns a connector that observes the resets of its sockets.
 	 */
 	createConnector(timeout: Millis): buildConnector.connector {
 		const connect = buildConnector({timeout});
 		return (options, callback) => {
 			connect(options, (...result) => {
 				const [, socket] = result;
-				// Registered before the library's own listener, and so called before it.
+				// Registered before undici's own listener and therefore called first.
 				socket?.on('error', () => {
-					this.isInside = true;
+					this.isHandlingReset = true;
 					queueMicrotask(() => {
-						this.isInside = false;
+						this.isHandlingReset = false;
 					});
 				});
 				callback(...result);
