--- a/src/exchange/attempt.ts
+++ b/src/exchange/attempt.ts
@@ -13,22 +13,22 @@
 export enum AttemptEnd {
 	/** The backend server answered. */
 	Answered = 'answered',
-	/** It is proved that the backend server did not run the attempt. */
+	/** The backend server has certainly not run the attempt. */
 	Refused = 'refused',
-	/** The attempt may have run. */
+	/** The attempt may or may not have run. */
 	Unknown = 'unknown',
 }
 
-/** One attempt of a call, on its way to a backend server. */
+/** One attempt to run a call on a backend server. */
 export interface Attempt {
 	readonly id: AttemptId;
 	readonly head: RequestHead;
-	/** Weight of the customer when calls compete for slots. */
+	/** Weight of the customer when calls of several customers compete for slots. */
 	readonly share: number;
 	readonly deadline: Deadline;
-	/** When the answer is late, though its caller still waits. */
+	/** Latency objective: an answer after this time is late, even though the caller still waits. */
 	readonly objective: Deadline;
-	/** Whether the call would rather be refused than wait, as it can try elsewhere. */
+	/** Whether a busy executor may refuse the attempt instead of queueing it, for a retry elsewhere. */
 	readonly canRetryElsewhere: boolean;
 	readonly body: Body;
 	readonly cancellation: Cancellation;
@@ -55,27 +55,27 @@
 
 export type AttemptResult = AnsweredAttempt | RefusedAttempt | UnknownAttempt;
 
-/** Runs attempts; here, or at the executor behind a link. */
+/** Runs attempts on the local executor or, over a link, on a remote one. */
 export interface AttemptRunner {
 	/**
-	 * @param attempt - what to run.
-	 * @returns how it ended; never rejects.
+	 * @param attempt - the attempt to run.
+	 * @returns the result of the attempt; never rejects.
 	 */
 	run(attempt: Attempt): Promise<AttemptResult>;
 }
 
 /**
  * @param reason - why the attempt did not run.
- * @param load - fresh load of the executor, where known.
- * @returns a proof that the attempt did not run.
+ * @param load - current load of the executor, if known.
+ * @returns the result of an attempt that has certainly not run.
  */
 export function createRefused(reason: RefusalReason, load?: LoadReport): RefusedAttempt {
 	return {end: AttemptEnd.Refused, reason, load};
 }
 
 /**
- * @param reason - why nothing is known.
- * @returns the end of an attempt that may have run.
+ * @param reason - why the outcome is unknown.
+ * @returns the result of an attempt that may have run.
  */
 export function createUnknown(reason: RefusalReason): UnknownAttempt {
 	return {end: AttemptEnd.Unknown, reason};
--- a/src/exchange/body.ts
+++ b/src/exchange/body.ts
@@ -1,26 +1,26 @@
 import type {Readable} from 'node:stream';
 import type {HeaderList} from '../call/index.js';
 
-/** Bodies up to this many bytes travel in one piece with their head. */
+/** Maximum size of a body that is buffered and sent in one piece with its head. */
 export const maxInlineBodyBytes = 65_536;
 
-/** A body that is here as a whole, or a stream that is read once. */
+/** Body of a request or an answer: either buffered, or a stream that can be read once. */
 export interface Body {
-	/** The whole body; undefined for a stream. */
+	/** The complete body; undefined for a stream. */
 	readonly bytes: Uint8Array | undefined;
-	/** The stream; undefined for a whole body. */
+	/** The stream; undefined for a buffered body. */
 	readonly stream: Readable | undefined;
-	/** Trailers; complete once the body has ended. */
+	/** Trailers, which are complete once the body has ended. */
 	readonly trailers: HeaderList;
-	/** Whether the sender marks the end; else the end of its connection is the end of the body. */
+	/** Whether the sender marks the end of the body; otherwise it ends when the connection closes. */
 	readonly isDelimited: boolean;
 }
 
 /**
- * @param bytes - the whole body.
- * @param trailers - trailers after it.
+ * @param bytes - the complete body.
+ * @param trailers - trailers that follow the body.
  * @param isDelimited - whether the sender marks the end of the body.
- * @returns a body that is here as a whole.
+ * @returns a buffered body.
  */
 export function createBufferedBody(
 	bytes: Uint8Array,
@@ -31,10 +31,10 @@
 }
 
 /**
- * @param stream - the bytes.
- * @param trailers - a list that is filled before the stream ends.
+ * @param stream - source of the body.
+ * @param trailers - list to which the trailers are added before the stream ends.
  * @param isDelimited - whether the sender marks the end of the body.
- * @returns a body that is read once.
+ * @returns a body that can be read once.
  */
 export function createStreamBody(
 	stream: Readable,
--- a/src/exchange/call.ts
+++ b/src/exchange/call.ts
@@ -5,16 +5,16 @@
 import type {Body} from './body.js';
 import type {Cancellation} from './cancellation.js';
 
-/** A caller's request with what is declared for it. One call sees one revision throughout. */
+/** A caller's request with its policies. A call uses the same configuration revision throughout. */
 export interface Call {
 	readonly head: RequestHead;
 	readonly policy: CallPolicy;
 	readonly service: ServicePolicy;
 	readonly index: DeclarationIndex;
 	readonly deadline: Deadline;
-	/** When the answer is late, though its caller still waits. */
+	/** Latency objective: an answer after this time is late, even though the caller still waits. */
 	readonly objective: Deadline;
-	/** How long an answer is in time, in ms. */
+	/** Time from the receipt of the request to the objective, in ms. */
 	readonly objectiveDuration: Millis;
 	readonly body: Body;
 	readonly cancellation: Cancellation;
@@ -23,10 +23,10 @@
 /** How a call ended. */
 export interface CallEnd {
 	readonly result: AttemptResult;
-	/** Attempts that were sent. */
+	/** Number of attempts that were sent. */
 	readonly attempts: number;
-	/** The executor of the last attempt. */
+	/** Id of the executor of the last attempt. */
 	readonly executor: string | undefined;
-	/** When there will be room for a call that was refused, in ms from now; undefined where unknown. */
+	/** When capacity for a refused call is expected, in ms from now; undefined if unknown. */
 	readonly retryAfter?: Millis | undefined;
 }
--- a/src/exchange/cancellation.ts
+++ b/src/exchange/cancellation.ts
@@ -1,6 +1,6 @@
 import type {Undo} from '../clock/index.js';
 
-/** Tells the parts of a call that nobody waits for it any more. */
+/** Cancels the work for a call or an attempt whose result is no longer needed. */
 export class Cancellation {
 	private readonly listeners = new Set<() => void>();
 	private isDone = false;
@@ -9,7 +9,7 @@
 		return this.isDone;
 	}
 
-	/** Cancels; a second time has no effect. */
+	/** Notifies the listeners; has no effect when canceled already. */
 	cancel(): void {
 		if (this.isDone) {
 			return;
@@ -24,8 +24,8 @@
 	}
 
 	/**
-	 * @param listener - called once, at once if canceled already.
-	 * @returns a function that ends the registration.
+	 * @param listener - called once, on cancellation, or immediately if canceled already.
+	 * @returns a function that removes the listener.
 	 */
 	registerListener(listener: () => void): Undo {
 		if (this.isDone) {
