--- a/src/claims/__tests__/unit/keyed-calls.test.ts
+++ b/src/claims/__tests__/unit/keyed-calls.test.ts
@@ -50,7 +50,7 @@
 	links: [],
 });
 
-/** A table that can be down, and whose answers can be lost after the write. */
+/** A table that can be unavailable and can lose its answers after a write. */
 class FakeTable implements TableService {
 	readonly rows = new Map<string, Row>();
 	isDown = false;
@@ -94,8 +94,8 @@
 	}
 }
 
-/** Nodes that share a table and reach each other at once. */
-class World {
+/** Nodes that share a table and call each other without delay. */
+class TestCluster {
 	readonly clock = new ManualClock(10_000_000);
 	readonly table = new FakeTable();
 	readonly nodes: KeyedCalls[] = [];
@@ -115,9 +115,9 @@
 						this.runs += this.next.end === AttemptEnd.Refused ? 0 : 1;
 						return {result: this.next, attempts: 1, executor: undefined};
 					},
-					sendToOwner: async (home, call) => {
-						const owner = Number(home.instance.slice(1));
-						const end = await this.nodes[owner]!.runAsOwner(call, 'key');
+					sendToOwner: async (owner, call) => {
+						const position = Number(owner.instance.slice(1));
+						const end = await this.nodes[position]!.runAsOwner(call, 'key');
 						return end.result;
 					},
 					findSuccessor: async () => undefined,
@@ -171,7 +171,7 @@
 };
 
 describe('KeyedCalls', () => {
-	it('runs a call at most once over any copies, outages, lost answers and refusals', async () => {
+	it('runs a call at most once across copies, store outages, lost answers and refusals', async () => {
 		const step = fc.record({
 			node: fc.nat(2),
 			store: fc.constantFrom('up', 'up', 'down', 'loses one', 'loses two'),
@@ -179,18 +179,18 @@
 		});
 		await fc.assert(
 			fc.asyncProperty(fc.array(step, {minLength: 1, maxLength: 12}), async (steps) => {
-				const world = new World(3);
+				const cluster = new TestCluster(3);
 				for (const {node, store, end} of steps) {
-					world.table.isDown = store === 'down';
-					world.table.lostAnswers = store === 'loses one' ? 1 : store === 'loses two' ? 2 : 0;
+					cluster.table.isDown = store === 'down';
+					cluster.table.lostAnswers = store === 'loses one' ? 1 : store === 'loses two' ? 2 : 0;
 					const ends = {
 						answered,
 						refused: createRefused(RefusalReason.NoBackend),
 						unknown: createUnknown(RefusalReason.BackendLost),
 					};
-					world.next = ends[end];
-					await world.send(node);
-					expect(world.runs).toBeLessThanOrEqual(1);
+					cluster.next = ends[end];
+					await cluster.send(node);
+					expect(cluster.runs).toBeLessThanOrEqual(1);
 				}
 			}),
 			{seed: 20_261_204, numRuns: 300},
--- a/src/claims/claim-keys.ts
+++ b/src/claims/claim-keys.ts
@@ -1,22 +1,24 @@
 import {minute, type Millis} from '../clock/index.js';
 
-/** Length of the time buckets in which rows of claims lie. */
+/** Duration of the time buckets that group the rows of claims. */
 export const bucketDuration: Millis = 10 * minute;
 
-/** Start of the rows of idempotency keys. */
+/** Prefix of the rows of claims. */
 export const claimPrefix = 'claims/';
 
 const bucketDigits = 10;
 
-/** Where the claim of a key is written, and where an earlier one may lie. */
+/** Keys of the rows that can hold the claim of an idempotency key. */
 export interface ClaimKeys {
+	/** Row in which a new claim is written. */
 	readonly current: string;
+	/** Rows in which an earlier claim may exist. */
 	readonly others: readonly string[];
 }
 
 /**
  * @param bucket - number of a time bucket.
- * @returns start of the rows in the bucket.
+ * @returns prefix of the rows in the bucket.
  */
 export function bucketPrefix(bucket: number): string {
 	return `${claimPrefix}${String(bucket).padStart(bucketDigits, '0')}/`;
@@ -24,7 +26,7 @@
 
 /**
  * @param wallTime - time of day in ms since the Unix epoch.
- * @returns the bucket into which claims are written then.
+ * @returns number of the bucket in which claims are written at that time.
  */
 export function bucketAt(wallTime: Millis): number {
 	return Math.floor(wallTime / bucketDuration);
@@ -34,7 +36,7 @@
  * @param key - service, customer and idempotency key.
  * @param wallTime - time of day in ms since the Unix epoch.
  * @param retention - how long the key is remembered, in ms.
- * @returns the keys of the rows; the next bucket is among the others, as clocks differ.
+ * @returns the keys of the rows, including one in the next bucket, as the clocks of nodes differ.
  */
 export function claimKeys(key: string, wallTime: Millis, retention: Millis): ClaimKeys {
 	const bucket = bucketAt(wallTime);
--- a/src/claims/claim-writer.ts
+++ b/src/claims/claim-writer.ts
@@ -9,61 +9,61 @@
 import {withResolvers} from '../util/index.js';
 import {claimKeys} from './claim-keys.js';
 
-/** The node that is home to a key. */
+/** The node that owns a key and decides whether the call with this key runs. */
 export interface KeyOwner {
-	/** Address of the node. */
+	/** Id of the node, which is its address. */
 	readonly id: string;
 	/** Incarnation of the node. */
 	readonly instance: string;
 }
 
-/** What a claim writer is made of. */
 export interface ClaimWriterDependencies {
 	readonly clock: Clock;
 	readonly store: TableService;
 	readonly self: KeyOwner;
 }
 
-type Pending = {
+type PendingClaim = {
 	readonly operation: WriteOperation;
-	readonly resolve: (home: KeyOwner | undefined) => void;
+	readonly resolve: (owner: KeyOwner | undefined) => void;
 };
 
-/** Claims wait so long for others, to share one transaction. */
-const groupTime: Millis = 2;
-const maxGroup = 100;
-const maxPending = 5000;
+/** Time for which a claim waits for further claims that share its transaction. */
+const batchDelay: Millis = 2;
+const maxBatchSize = 100;
+const maxPendingClaims = 5000;
 
 /**
- * Claims idempotency keys by conditional inserts into the platform's table. Claims of some ms share
- * one transaction, as the table takes several hundred writes a second for everybody.
+ * Claims idempotency keys by conditional inserts into a table of the platform's store. Claims are
+ * batched into transactions, as the table accepts several hundred writes per second from all nodes
+ * together.
  */
 export class ClaimWriter {
-	private readonly pending: Pending[] = [];
+	private readonly pending: PendingClaim[] = [];
 	private isWriting = false;
 
-	constructor(private readonly parts: ClaimWriterDependencies) {}
+	constructor(private readonly deps: ClaimWriterDependencies) {}
 
 	/**
 	 * @param key - service, customer and idempotency key.
 	 * @param retention - how long the key is remembered, in ms.
-	 * @returns the home of the key: this node if the claim is its own; undefined when the store does
-	 * not answer, so that nothing is known.
+	 * @returns the owner of the key, which is this node if its claim was the first; undefined when the
+	 * store does not answer or too many claims are pending.
 	 */
 	async claim(key: string, retention: Millis): Promise<KeyOwner | undefined> {
-		if (this.pending.length >= maxPending) {
+		if (this.pending.length >= maxPendingClaims) {
 			return undefined;
 		}
 
-		const {clock, self} = this.parts;
-		const {current: own, others} = claimKeys(key, clock.wallNow(), retention);
+		const {clock, self} = this.deps;
+		const {current: rowKey, others} = claimKeys(key, clock.wallNow(), retention);
 		const {promise, resolve} = withResolvers<KeyOwner | undefined>();
 		const value = JSON.stringify(self);
-		const operation = {key: own, value, expect: Precondition.Absent, alsoAbsent: others};
+		const operation = {key: rowKey, value, expect: Precondition.Absent, alsoAbsent: others};
 		this.pending.push({operation, resolve});
 		if (!this.isWriting) {
 			this.isWriting = true;
-			clock.after(groupTime, () => {
+			clock.after(batchDelay, () => {
 				void this.flush();
 			});
 		}
@@ -73,35 +73,36 @@
 
 	private async flush(): Promise<void> {
 		while (this.pending.length > 0) {
-			const group = this.pending.splice(0, maxGroup);
-			// Groups follow each other, so that the next one grows while this one is written.
-			await this.writeGroup(group); // eslint-disable-line no-await-in-loop
+			const batch = this.pending.splice(0, maxBatchSize);
+			// Batches are written one after another; the next one accumulates in the meantime.
+			await this.writeBatch(batch); // eslint-disable-line no-await-in-loop
 		}
 
 		this.isWriting = false;
 	}
 
-	private async writeGroup(group: readonly Pending[]): Promise<void> {
+	private async writeBatch(batch: readonly PendingClaim[]): Promise<void> {
 		try {
-			const results = await this.writeOrRepeat(group.map((item) => item.operation));
-			for (const [i, item] of group.entries()) {
+			const results = await this.writeWithRetry(batch.map((item) => item.operation));
+			for (const [i, item] of batch.entries()) {
 				const result = results[i];
-				item.resolve(result?.isApplied ? this.parts.self : homeOf(result?.row));
+				item.resolve(result?.isApplied ? this.deps.self : ownerOf(result?.row));
 			}
 		} catch {
-			for (const item of group) {
+			for (const item of batch) {
 				item.resolve(undefined);
 			}
 		}
 	}
 
-	// A lost answer is resolved by writing once more: the row that stands there tells whose it is.
-	private async writeOrRepeat(operations: readonly WriteOperation[]) {
+	// If the answer of the store is lost, the write is repeated: it then returns the existing row, which
+	// names the owner.
+	private async writeWithRetry(operations: readonly WriteOperation[]) {
 		try {
-			return await this.parts.store.write(operations);
+			return await this.deps.store.write(operations);
 		} catch (err) {
 			if (err instanceof StoreUnavailableError) {
-				return this.parts.store.write(operations);
+				return this.deps.store.write(operations);
 			}
 
 			throw err;
@@ -109,7 +110,7 @@
 	}
 }
 
-function homeOf(row: Row | undefined): KeyOwner | undefined {
-	// Rows of claims are written by this class only.
+function ownerOf(row: Row | undefined): KeyOwner | undefined {
+	// Only this class writes rows of claims.
 	return row && (JSON.parse(row.value) as KeyOwner); // eslint-disable-line @typescript-eslint/no-unsafe-type-assertion
 }
--- a/src/claims/issued-key.ts
+++ b/src/claims/issued-key.ts
@@ -1,27 +1,27 @@
 import {parseEndpoint} from '../settings/index.js';
 import type {KeyOwner} from './claim-writer.js';
 
-const mark = 'tmk1';
+const issuedKeyPrefix = 'tmk1';
 const separator = '~';
 
 /**
- * A key that names its home: only that incarnation of that node can ever let its call run, so that
- * nothing has to be agreed and no store is asked.
- * @param home - the node that issues the key.
- * @param sequence - counts up within one incarnation.
+ * Creates a key that names its owner. Only that incarnation of the node can run a call with this key,
+ * so neither an agreement between nodes nor a claim in the store is needed.
+ * @param owner - the node that issues the key.
+ * @param sequence - number of the key, unique within the incarnation.
  * @returns the key.
  */
-export function createIssuedKey(home: KeyOwner, sequence: number): string {
-	return [mark, home.id, home.instance, sequence].join(separator);
+export function createIssuedKey(owner: KeyOwner, sequence: number): string {
+	return [issuedKeyPrefix, owner.id, owner.instance, sequence].join(separator);
 }
 
 /**
  * @param key - an idempotency key.
- * @returns the home that the key names; undefined for a caller's own key.
+ * @returns the owner that the key names; undefined for a key that the caller has chosen itself.
  */
 export function parseIssuedKey(key: string): KeyOwner | undefined {
-	const [start, id, instance, sequence] = key.split(separator);
-	const isIssued = start === mark && id !== undefined && instance !== undefined;
+	const [prefix, id, instance, sequence] = key.split(separator);
+	const isIssued = prefix === issuedKeyPrefix && id !== undefined && instance !== undefined;
 	if (!isIssued || sequence === undefined || !parseEndpoint(id)) {
 		return undefined;
 	}
--- a/src/claims/key-homes.ts
+++ b/src/claims/key-homes.ts
@@ -15,7 +15,6 @@
 import {rendezvous} from '../util/index.js';
 import type {KeyOwner} from './claim-writer.js';
 
-/** What the homes of keys are reached through. */
 export interface KeyOwnersDependencies {
 	readonly self: KeyOwner;
 	readonly gossip: Gossip;
@@ -25,40 +24,42 @@
 	readonly store: TableService | undefined;
 }
 
-const connectTries = 3;
-const heirCandidates = 3;
+const maxConnectAttempts = 3;
+const candidatesPerGroup = 3;
 
-/** Ends with which a copy never reached its home: they say nothing of earlier copies. */
-const neverSent: ReadonlySet<RefusalReason> = new Set([
+/** Refusals before the call reached the owner. They do not tell whether an earlier copy has run. */
+const notDelivered: ReadonlySet<RefusalReason> = new Set([
 	RefusalReason.LinkUnreachable,
 	RefusalReason.DeadlinePassed,
 	RefusalReason.TooManyCalls,
 ]);
 
-/** Finds the homes of keys and their heirs, and hands over to an heir. */
+/** Sends calls to the owners of their keys, and hands over keys to a successor. */
 export class KeyOwners {
-	private readonly heirs = new Map<string, KeyOwner>();
+	private readonly successors = new Map<string, KeyOwner>();
 
-	constructor(private readonly parts: KeyOwnersDependencies) {}
+	constructor(private readonly deps: KeyOwnersDependencies) {}
 
 	/**
-	 * @param rumor - tells who has taken over the keys of a node.
+	 * Records the successor that a handover rumor names; ignores other rumors.
+	 * @param rumor - a rumor from another node.
 	 */
 	handleRumor(rumor: Rumor): void {
 		const [from, id, instance] = rumor.fields;
 		const isHandover = rumor.kind === RumorKind.Handover;
 		if (isHandover && from !== undefined && id !== undefined && instance !== undefined) {
-			this.heirs.set(from, {id, instance});
+			this.successors.set(from, {id, instance});
 		}
 	}
 
 	/**
 	 * @param attempt - an attempt that another node has sent.
-	 * @returns the call that it belongs to; undefined when it is not declared here.
+	 * @returns the call of the attempt; undefined if the configuration in force does not declare its
+	 * service and customer.
 	 */
 	createCall(attempt: Attempt): Call | undefined {
 		const {service: name, customer} = attempt.head;
-		const index = this.parts.revisions.inForce;
+		const index = this.deps.revisions.inForce;
 		const service = index?.service(name);
 		const policy = index?.call(name, customer);
 		if (!index || !service || !policy) {
@@ -66,9 +67,9 @@
 		}
 
 		const {head, deadline, objective, body} = attempt;
-		// The call goes on when the other node is lost, as its caller will send it again.
+		// The call continues when the other node is lost, since the caller is expected to send it again.
 		const cancellation = new Cancellation();
-		const objectiveSpan = policy.deadline;
+		const objectiveDuration = policy.deadline;
 		return {
 			head,
 			policy,
@@ -76,33 +77,33 @@
 			index,
 			deadline,
 			objective,
-			objectiveDuration: objectiveSpan,
+			objectiveDuration,
 			body,
 			cancellation,
 		};
 	}
 
 	/**
-	 * Sends a call to the home of its key.
-	 * @param home - the home.
+	 * Sends a call to the owner of its key.
+	 * @param owner - the owner.
 	 * @param call - the call.
-	 * @returns how it ended.
+	 * @returns the result at the owner.
 	 */
-	async send(home: KeyOwner, call: Call): Promise<AttemptResult> {
-		const {gossip, hub} = this.parts;
-		const member = gossip.directory.get(home.id);
+	async send(owner: KeyOwner, call: Call): Promise<AttemptResult> {
+		const {gossip, hub} = this.deps;
+		const member = gossip.directory.get(owner.id);
 		if (member && !isPresent(member)) {
 			return createUnknown(RefusalReason.KeyHomeGone);
 		}
 
-		for (let tries = 0; tries < connectTries; tries++) {
-			const session = await hub.connect(home.id); // eslint-disable-line no-await-in-loop
-			if (session && session.link.peer?.instance !== home.instance) {
+		for (let attempts = 0; attempts < maxConnectAttempts; attempts++) {
+			const session = await hub.connect(owner.id); // eslint-disable-line no-await-in-loop
+			if (session && session.link.peer?.instance !== owner.instance) {
 				return createUnknown(RefusalReason.KeyHomeGone);
 			}
 
 			if (session) {
-				return this.runAt(home.id, call);
+				return this.runAtOwner(owner.id, call);
 			}
 		}
 
@@ -110,20 +111,20 @@
 	}
 
 	/**
-	 * @param home - the home of a key.
-	 * @returns who has taken over its keys; undefined when nobody is known to.
+	 * @param owner - the owner of a key.
+	 * @returns the node that has taken over its keys; undefined if no successor is known.
 	 */
-	async findSuccessor(home: KeyOwner): Promise<KeyOwner | undefined> {
-		const {gossip, store} = this.parts;
-		const known = this.heirs.get(home.instance);
-		const member = gossip.directory.get(home.id);
-		const isHere = member !== undefined && isPresent(member);
-		if (known !== undefined || isHere || !store) {
+	async findSuccessor(owner: KeyOwner): Promise<KeyOwner | undefined> {
+		const {gossip, store} = this.deps;
+		const known = this.successors.get(owner.instance);
+		const member = gossip.directory.get(owner.id);
+		const isMemberPresent = member !== undefined && isPresent(member);
+		if (known !== undefined || isMemberPresent || !store) {
 			return known;
 		}
 
 		try {
-			const row = await store.read(`${handoverPrefix}${home.instance}`);
+			const row = await store.read(`${handoverPrefix}${owner.instance}`);
 			return row && (JSON.parse(row.value) as KeyOwner); // eslint-disable-line @typescript-eslint/no-unsafe-type-assertion
 		} catch {
 			return undefined;
@@ -131,26 +132,26 @@
 	}
 
 	/**
-	 * Hands remembered keys to one heir and tells all members who it is.
-	 * @param records - the keys.
+	 * Hands over the key records to a successor and announces it to all members.
+	 * @param records - the encoded key records.
 	 */
 	async handOver(records: Uint8Array): Promise<void> {
-		for (const id of this.heirCandidates()) {
-			const session = await this.parts.hub.connect(id); // eslint-disable-line no-await-in-loop
+		for (const id of this.successorCandidates()) {
+			const session = await this.deps.hub.connect(id); // eslint-disable-line no-await-in-loop
 			const instance = session?.link.peer?.instance;
-			// One heir is enough; the next one is asked only when this one cannot be reached.
+			// One successor is enough; the next candidate is used only if this one does not take the keys.
 			// eslint-disable-next-line no-await-in-loop
 			if (instance !== undefined && (await session?.handOver(records))) {
-				await this.nameHeir({id, instance}); // eslint-disable-line no-await-in-loop
+				await this.publishSuccessor({id, instance}); // eslint-disable-line no-await-in-loop
 				return;
 			}
 		}
 	}
 
-	private async runAt(id: string, call: Call): Promise<AttemptResult> {
+	private async runAtOwner(id: string, call: Call): Promise<AttemptResult> {
 		const {head, deadline, objective, body, policy, cancellation} = call;
-		const result = await this.parts.hub.runnerTo(id, OpenTarget.KeyOwner).run({
-			id: {instance: this.parts.self.instance, sequence: 0},
+		const result = await this.deps.hub.runnerTo(id, OpenTarget.KeyOwner).run({
+			id: {instance: this.deps.self.instance, sequence: 0},
 			head,
 			share: policy.share,
 			deadline: new Deadline(deadline.at),
@@ -159,41 +160,41 @@
 			body,
 			cancellation,
 		});
-		const isNeverSent = result.end === AttemptEnd.Refused && neverSent.has(result.reason);
-		return isNeverSent ? createUnknown(RefusalReason.KeyHomeUnreachable) : result;
+		const isUndelivered = result.end === AttemptEnd.Refused && notDelivered.has(result.reason);
+		return isUndelivered ? createUnknown(RefusalReason.KeyHomeUnreachable) : result;
 	}
 
-	private heirCandidates(): string[] {
-		const {gossip, self} = this.parts;
+	private successorCandidates(): string[] {
+		const {gossip, self} = this.deps;
 		const {zone, region} = gossip.localMember;
-		const zoneMates: string[] = [];
+		const sameZone: string[] = [];
 		const others: string[] = [];
 		for (const member of gossip.directory.all()) {
 			const isLeaving = member.phase === MemberPhase.Draining;
 			if (member.id !== self.id && isPresent(member) && !isLeaving) {
-				const isMate = member.zone === zone && member.region === region;
-				(isMate ? zoneMates : others).push(member.id);
+				const isSameZone = member.zone === zone && member.region === region;
+				(isSameZone ? sameZone : others).push(member.id);
 			}
 		}
 
 		return [
-			...rendezvous(self.id, zoneMates, heirCandidates),
-			...rendezvous(self.id, others, heirCandidates),
+			...rendezvous(self.id, sameZone, candidatesPerGroup),
+			...rendezvous(self.id, others, candidatesPerGroup),
 		];
 	}
 
-	private async nameHeir(heir: KeyOwner): Promise<void> {
-		const {gossip, self, store} = this.parts;
+	private async publishSuccessor(successor: KeyOwner): Promise<void> {
+		const {gossip, self, store} = this.deps;
 		const {instance} = self;
-		const fields = [instance, heir.id, heir.instance];
+		const fields = [instance, successor.id, successor.instance];
 		gossip.spreadRumor({id: `heir ${instance}`, kind: RumorKind.Handover, fields});
 		gossip.flush();
 		const key = `${handoverPrefix}${instance}`;
-		const value = JSON.stringify(heir);
+		const value = JSON.stringify(successor);
 		try {
 			await store?.write([{key, value, expect: Precondition.Any}]);
 		} catch {
-			// The rumor tells those who are here; the row is for those who come later.
+			// The rumor reaches the current members; the row serves members that join later.
 		}
 	}
 }
--- a/src/claims/keyed-calls.ts
+++ b/src/claims/keyed-calls.ts
@@ -21,105 +21,104 @@
 import type {ClaimWriter, KeyOwner} from './claim-writer.js';
 import {createIssuedKey, parseIssuedKey} from './issued-key.js';
 
-/** An answer that is kept for callers that send again. */
+/** An answer that is stored for repeated requests. */
 export interface StoredAnswer {
 	readonly status: number;
 	readonly headers: HeaderList;
 	readonly body: Uint8Array;
 }
 
-/** What keyed calls are made of. */
 export interface KeyedCallsDependencies {
 	readonly clock: Clock;
 	readonly self: KeyOwner;
 	/** Undefined for a node without a store. */
 	readonly claims: ClaimWriter | undefined;
-	/** Runs a call that may run now. */
+	/** Runs a call whose key has been checked. */
 	runCall(call: Call): Promise<CallEnd>;
 	/**
-	 * Sends a call to the home of its key.
-	 * @param home - the home.
+	 * Sends a call to the owner of its key.
+	 * @param owner - the owner.
 	 * @param call - the call.
 	 */
-	sendToOwner(home: KeyOwner, call: Call): Promise<AttemptResult>;
+	sendToOwner(owner: KeyOwner, call: Call): Promise<AttemptResult>;
 	/**
-	 * @param home - the home of a key.
-	 * @returns who has taken over its keys; undefined when nobody is known to.
+	 * @param owner - the owner of a key.
+	 * @returns the node that has taken over its keys; undefined if no successor is known.
 	 */
-	findSuccessor(home: KeyOwner): Promise<KeyOwner | undefined>;
+	findSuccessor(owner: KeyOwner): Promise<KeyOwner | undefined>;
 }
 
-type Waiting = {readonly promise: Promise<CallEnd>};
+type RunningCall = {readonly promise: Promise<CallEnd>};
 
 const maxRecords = 50_000;
 const maxBytes = 24 * 1024 * 1024;
-const keptAnswerBytes = 16_384;
-const expiryPeriod: Millis = 5 * second;
-const maxHeirs = 5;
+const maxStoredAnswerBytes = 16_384;
+const expiryInterval: Millis = 5 * second;
+const maxSuccessorHops = 5;
 const packr = new Packr({useRecords: false});
 
 /** Lets each call with an idempotency key run at most once. */
 export class KeyedCalls {
 	private readonly ledger = new KeyLedger<StoredAnswer>({maxRecords, maxBytes});
-	private readonly running = new Map<string, Waiting>();
+	private readonly running = new Map<string, RunningCall>();
 	private issued = 0;
 
-	constructor(private readonly parts: KeyedCallsDependencies) {
-		parts.clock.repeat(expiryPeriod, () => {
-			this.ledger.expire(parts.clock.now());
+	constructor(private readonly deps: KeyedCallsDependencies) {
+		deps.clock.repeat(expiryInterval, () => {
+			this.ledger.expire(deps.clock.now());
 		});
 	}
 
-	/** Keys that are remembered. */
+	/** Number of stored key records. */
 	get size(): number {
 		return this.ledger.size;
 	}
 
-	/** @returns a key of which this node is the home. */
+	/** @returns a new key that this node owns. */
 	issueKey(): string {
 		this.issued += 1;
-		return createIssuedKey(this.parts.self, this.issued);
+		return createIssuedKey(this.deps.self, this.issued);
 	}
 
 	/**
-	 * A caller's call has come with a key.
+	 * Runs a call that was received from a caller.
 	 * @param call - the call.
-	 * @param key - its key.
-	 * @returns how it ended.
+	 * @param key - its idempotency key.
+	 * @returns the end of the call.
 	 */
 	async run(call: Call, key: string): Promise<CallEnd> {
-		const home = parseIssuedKey(key);
-		if (home && !this.isSelf(home)) {
-			return this.runElsewhere(home, call);
+		const owner = parseIssuedKey(key);
+		if (owner && !this.isSelf(owner)) {
+			return this.runElsewhere(owner, call);
 		}
 
 		const id = recordId(call, key);
-		const isKnown = home !== undefined || this.ledger.get(id) !== undefined;
+		const isKnown = owner !== undefined || this.ledger.get(id) !== undefined;
 		return isKnown ? this.runHere(id, call) : this.runClaimed(id, call);
 	}
 
 	/**
-	 * Another node has sent a call of whose key this node is the home.
+	 * Runs a call that another node has sent to this node as the owner of its key.
 	 * @param call - the call.
-	 * @param key - its key.
-	 * @returns how it ended.
+	 * @param key - its idempotency key.
+	 * @returns the end of the call.
 	 */
 	async runAsOwner(call: Call, key: string): Promise<CallEnd> {
 		const id = recordId(call, key);
-		const home = parseIssuedKey(key);
-		const isHome = home ? this.isSelf(home) : false;
-		if (isHome || this.ledger.get(id)) {
+		const owner = parseIssuedKey(key);
+		const isOwner = owner ? this.isSelf(owner) : false;
+		if (isOwner || this.ledger.get(id)) {
 			return this.runHere(id, call);
 		}
 
-		return endWith(createUnknown(RefusalReason.KeyForgotten));
+		return createCallEnd(createUnknown(RefusalReason.KeyForgotten));
 	}
 
 	/**
-	 * Another node has sent an attempt to this node as the home of its key.
+	 * Runs an attempt that another node has sent to this node as the owner of its key.
 	 * @param attempt - the attempt.
-	 * @param call - the call that it belongs to; undefined when it is not declared here.
-	 * @returns how it ended.
+	 * @param call - the call of the attempt; undefined if the configuration in force does not declare it.
+	 * @returns the result of the attempt.
 	 */
 	async runAttempt(attempt: Attempt, call: Call | undefined): Promise<AttemptResult> {
 		const {key} = attempt.head;
@@ -131,9 +130,9 @@
 		return end.result;
 	}
 
-	/** @returns what another node must remember when this one leaves. */
+	/** @returns the encoded key records that a successor must keep when this node leaves. */
 	exportRecords(): Uint8Array {
-		const now = this.parts.clock.now();
+		const now = this.deps.clock.now();
 		const records = [...this.ledger.all()].filter(
 			(record) => record.state !== KeyState.Running && record.state !== KeyState.NotRun,
 		);
@@ -150,8 +149,8 @@
 	}
 
 	/**
-	 * Takes over what a node that leaves remembers.
-	 * @param bytes - its records.
+	 * Takes over the key records of a node that leaves.
+	 * @param bytes - the encoded records.
 	 */
 	importRecords(bytes: Uint8Array): void {
 		const packed: unknown = packr.unpack(bytes);
@@ -160,38 +159,39 @@
 		}
 
 		for (const fields of packed) {
-			const record = unpackRecord(fields, this.parts.clock.now());
+			const record = unpackRecord(fields, this.deps.clock.now());
 			if (record) {
 				this.ledger.adopt(record);
 			}
 		}
 	}
 
-	private isSelf(home: KeyOwner): boolean {
-		return home.id === this.parts.self.id && home.instance === this.parts.self.instance;
+	private isSelf(owner: KeyOwner): boolean {
+		return owner.id === this.deps.self.id && owner.instance === this.deps.self.instance;
 	}
 
-	// The claim is noted here before it is written, so that whoever reads the row finds it here.
+	// The record is created before the claim is written, so that a node that reads the row and sends its
+	// copy here finds the record.
 	private async runClaimed(id: string, call: Call): Promise<CallEnd> {
-		const {claims} = this.parts;
+		const {claims} = this.deps;
 		if (!claims) {
-			return endWith(createRefused(RefusalReason.StoreUnavailable));
+			return createCallEnd(createRefused(RefusalReason.StoreUnavailable));
 		}
 
 		return this.runHere(id, call, async () => {
-			const home = await claims.claim(id, call.policy.keyRetention);
-			if (!home) {
-				// A record that stays would let the next copy run without a claim.
+			const owner = await claims.claim(id, call.policy.keyRetention);
+			if (!owner) {
+				// If the record were kept, the next copy would run without a claim.
 				this.ledger.drop(id);
-				return endWith(createRefused(RefusalReason.StoreUnavailable));
+				return createCallEnd(createRefused(RefusalReason.StoreUnavailable));
 			}
 
-			if (this.isSelf(home)) {
+			if (this.isSelf(owner)) {
 				return undefined;
 			}
 
 			this.ledger.drop(id);
-			return this.runElsewhere(home, call);
+			return this.runElsewhere(owner, call);
 		});
 	}
 
@@ -200,7 +200,7 @@
 		call: Call,
 		prepare?: () => Promise<CallEnd | undefined>,
 	): Promise<CallEnd> {
-		const expiresAt = this.parts.clock.now() + call.policy.keyRetention;
+		const expiresAt = this.deps.clock.now() + call.policy.keyRetention;
 		const verdict = this.ledger.begin(id, call.head.fingerprint, expiresAt);
 		switch (verdict) {
 			case KeyVerdict.Start: {
@@ -212,15 +212,15 @@
 			}
 
 			case KeyVerdict.Replay: {
-				return endWith(replay(this.ledger.get(id)!));
+				return createCallEnd(replay(this.ledger.get(id)!));
 			}
 
 			case KeyVerdict.Reused: {
-				return endWith(createRefused(RefusalReason.KeyReused));
+				return createCallEnd(createRefused(RefusalReason.KeyReused));
 			}
 
 			case KeyVerdict.Full: {
-				return endWith(createRefused(RefusalReason.KeyMemoryFull));
+				return createCallEnd(createRefused(RefusalReason.KeyMemoryFull));
 			}
 		}
 	}
@@ -242,13 +242,13 @@
 		call: Call,
 		prepare: (() => Promise<CallEnd | undefined>) | undefined,
 	): Promise<CallEnd> {
-		const prepared = await prepare?.();
-		const end = prepared ?? (await this.parts.runCall(call));
-		this.remember(id, end.result);
+		const earlyEnd = await prepare?.();
+		const end = earlyEnd ?? (await this.deps.runCall(call));
+		this.recordResult(id, end.result);
 		return end;
 	}
 
-	private remember(id: string, result: AttemptResult): void {
+	private recordResult(id: string, result: AttemptResult): void {
 		switch (result.end) {
 			case AttemptEnd.Refused: {
 				this.ledger.finish(id, KeyState.NotRun);
@@ -263,7 +263,7 @@
 			case AttemptEnd.Answered: {
 				const {status, headers, body} = result;
 				const {bytes} = body;
-				if (bytes && bytes.length <= keptAnswerBytes) {
+				if (bytes && bytes.length <= maxStoredAnswerBytes) {
 					const answer = {status, headers, body: bytes};
 					this.ledger.finish(id, KeyState.Answered, answer, bytes.length);
 				} else {
@@ -276,42 +276,42 @@
 	}
 
 	private async join(id: string, call: Call): Promise<CallEnd> {
-		const {clock} = this.parts;
-		const waiting = this.running.get(id);
-		if (!waiting) {
-			return endWith(createUnknown(RefusalReason.KeyForgotten));
+		const {clock} = this.deps;
+		const runningCall = this.running.get(id);
+		if (!runningCall) {
+			return createCallEnd(createUnknown(RefusalReason.KeyForgotten));
 		}
 
 		return new Promise((resolve) => {
 			const undo = clock.after(call.deadline.timeLeft(clock.now()), () => {
-				resolve(endWith(createUnknown(RefusalReason.AnswerTimeout)));
+				resolve(createCallEnd(createUnknown(RefusalReason.AnswerTimeout)));
 			});
-			void waiting.promise.then((end) => {
+			void runningCall.promise.then((end) => {
 				undo();
-				resolve(endWith(shared(end.result)));
+				resolve(createCallEnd(shareableResult(end.result)));
 			});
 		});
 	}
 
-	private async runElsewhere(home: KeyOwner, call: Call): Promise<CallEnd> {
-		let current = home;
-		for (let heirs = 0; heirs < maxHeirs; heirs++) {
-			// Each step depends on who the last one named.
+	private async runElsewhere(owner: KeyOwner, call: Call): Promise<CallEnd> {
+		let current = owner;
+		for (let hops = 0; hops < maxSuccessorHops; hops++) {
+			// A successor may itself have handed over its keys.
 			// eslint-disable-next-line no-await-in-loop
-			const heir = await this.parts.findSuccessor(current);
-			if (!heir) {
+			const successor = await this.deps.findSuccessor(current);
+			if (!successor) {
 				break;
 			}
 
-			current = heir;
+			current = successor;
 		}
 
 		if (this.isSelf(current)) {
-			const known = this.ledger.get(recordId(call, call.head.key ?? ''));
-			return endWith(known ? replay(known) : createUnknown(RefusalReason.KeyForgotten));
+			const record = this.ledger.get(recordId(call, call.head.key ?? ''));
+			return createCallEnd(record ? replay(record) : createUnknown(RefusalReason.KeyForgotten));
 		}
 
-		return endWith(await this.parts.sendToOwner(current, call));
+		return createCallEnd(await this.deps.sendToOwner(current, call));
 	}
 }
 
@@ -320,12 +320,12 @@
 	return [service, customer, key].map((part) => encodeURIComponent(part)).join('/');
 }
 
-function endWith(result: AttemptResult): CallEnd {
+function createCallEnd(result: AttemptResult): CallEnd {
 	return {result, attempts: 0, executor: undefined};
 }
 
-/** A stream can be read by one caller only; the others learn that the call ran. */
-function shared(result: AttemptResult): AttemptResult {
+/** A stream can be read by one caller only; the others learn that the call ran, without its answer. */
+function shareableResult(result: AttemptResult): AttemptResult {
 	const isStream = result.end === AttemptEnd.Answered && result.body.bytes === undefined;
 	return isStream ? createUnknown(RefusalReason.AnswerNotKept) : result;
 }
@@ -334,8 +334,8 @@
 	switch (record.state) {
 		case KeyState.Answered: {
 			const {status, headers, body} = record.answer!;
-			const whole = createBufferedBody(body);
-			return {end: AttemptEnd.Answered, status, headers, body: whole, load: undefined};
+			const bufferedBody = createBufferedBody(body);
+			return {end: AttemptEnd.Answered, status, headers, body: bufferedBody, load: undefined};
 		}
 
 		case KeyState.NotKept: {
@@ -363,6 +363,6 @@
 	}
 
 	const [id, fingerprint, state, answer, answerBytes, timeLeft] = fields;
-	const kept = answer && {status: answer[0], headers: answer[1], body: answer[2]};
-	return {id, fingerprint, state, answer: kept, answerBytes, expiresAt: now + timeLeft};
+	const storedAnswer = answer && {status: answer[0], headers: answer[1], body: answer[2]};
+	return {id, fingerprint, state, answer: storedAnswer, answerBytes, expiresAt: now + timeLeft};
 }
