--- a/src/executor/backend-protocol.ts
+++ b/src/executor/backend-protocol.ts
@@ -62,7 +62,7 @@
 /** With status 503, marks a request that the backend server refused before doing any work. */
 export const refusedBeforeWorkHeader = 'turmeric-refused';
 
-/** The default protocol between a node and its backend server. */
+/** Turmeric's own protocol between a node and its backend server. */
 export class TurmericBackendProtocol implements BackendProtocol {
 	requestHeaders(attempt: Attempt): HeaderList {
 		return attempt.head.headers;
--- a/src/ingress/call-runner.ts
+++ b/src/ingress/call-runner.ts
@@ -451,8 +451,8 @@
 	}
 }
 
-// While the body of an answer streams, the deadline or cancellation listener stays registered, since a
-// body may never end.
+// While the body of an answer streams, the deadline timer and the cancellation listener stay
+// registered, since a body may never end.
 function releaseWithAnswer(result: AttemptResult, undo: Undo): void {
 	const stream = result.end === AttemptEnd.Answered ? result.body.stream : undefined;
 	if (stream) {
--- a/src/ingress/nearest-first-placement.ts
+++ b/src/ingress/nearest-first-placement.ts
@@ -25,12 +25,12 @@
 const noneExcluded: ReadonlySet<string> = new Set();
 
 /**
- * Keeps calls within the region as long as their deadline allows it, and uses a link to another
- * region, which is charged by traffic, only within its declared budget.
+ * Keeps calls within the region as long as their deadline allows it, and uses the paid link to another
+ * region only within its declared budget.
  */
 export class NearestFirstPlacement implements Placement {
 	private readonly linkBudgets: RegionBuckets;
-	private readonly hedgeTimer = new HedgeDelayEstimator();
+	private readonly hedgeDelays = new HedgeDelayEstimator();
 
 	constructor(private readonly deps: NearestFirstDependencies) {
 		this.linkBudgets = new RegionBuckets(deps.clock);
@@ -59,7 +59,7 @@
 	}
 
 	hedgeDelay(query: PlacementQuery): Millis | undefined {
-		return this.hedgeTimer.delayFor(query.service);
+		return this.hedgeDelays.delayFor(query.service);
 	}
 
 	hedgeExecutor(query: PlacementQuery): Member | undefined {
@@ -84,7 +84,7 @@
 	recordEnded(query: PlacementQuery, executor: Member, news: AttemptOutcome): void {
 		this.deps.routing.recordEnded(executor.id, news.sentAt, news.load);
 		if (news.answerBytes !== undefined) {
-			this.hedgeTimer.add(query.service, this.deps.clock.now() - news.sentAt);
+			this.hedgeDelays.add(query.service, this.deps.clock.now() - news.sentAt);
 		}
 	}
 
--- a/src/ingress/turmeric-caller-protocol.ts
+++ b/src/ingress/turmeric-caller-protocol.ts
@@ -24,7 +24,7 @@
 
 const maxKeyLength = 255;
 
-/** The default caller protocol, in which headers carry the service and the customer. */
+/** Turmeric's own caller protocol, in which headers name the service and the customer. */
 export class TurmericCallerProtocol implements CallerProtocol {
 	private requestCount = 0;
 
