--- a/src/claims/__tests__/unit/keyed-calls.test.ts
+++ b/src/claims/__tests__/unit/keyed-calls.test.ts
@@ -171,7 +171,7 @@
 };
 
 describe('KeyedCalls', () => {
-	it('runs a call at most once across copies, store outages, lost answers and refusals', async () => {
+	it('runs a call at most once across repeated requests, store outages, lost answers and refusals', async () => {
 		const step = fc.record({
 			node: fc.nat(2),
 			store: fc.constantFrom('up', 'up', 'down', 'loses one', 'loses two'),
--- a/src/claims/index.ts
+++ b/src/claims/index.ts
@@ -2,5 +2,5 @@
 export {ClaimSweeper, sweepPeriod} from './claim-sweeper.js';
 export {ClaimWriter, type KeyOwner} from './claim-writer.js';
 export {createIssuedKey, parseIssuedKey} from './issued-key.js';
-export {KeyOwners, type KeyOwnersDependencies} from './key-homes.js';
+export {KeyOwners, type KeyOwnersDependencies} from './key-owners.js';
 export {KeyedCalls, type KeyedCallsDependencies} from './keyed-calls.js';
--- a/src/claims/key-homes.ts
+++ b/src/claims/key-owners.ts
@@ -27,7 +27,10 @@
 const maxConnectAttempts = 3;
 const candidatesPerGroup = 3;
 
-/** Refusals before the call reached the owner. They do not tell whether an earlier copy has run. */
+/**
+ * Refusals before the call reached the owner. They do not show whether an earlier
+ * request with the same key has run.
+ */
 const notDelivered: ReadonlySet<RefusalReason> = new Set([
 	RefusalReason.LinkUnreachable,
 	RefusalReason.DeadlinePassed,
--- a/src/claims/keyed-calls.ts
+++ b/src/claims/keyed-calls.ts
@@ -171,7 +171,7 @@
 	}
 
 	// The record is created before the claim is written, so that a node that reads the row and sends its
-	// copy here finds the record.
+	// call here finds the record.
 	private async runClaimed(id: string, call: Call): Promise<CallEnd> {
 		const {claims} = this.deps;
 		if (!claims) {
@@ -181,7 +181,7 @@
 		return this.runHere(id, call, async () => {
 			const owner = await claims.claim(id, call.policy.keyRetention);
 			if (!owner) {
-				// If the record were kept, the next copy would run without a claim.
+				// If the record were kept, the next request with the key would run without a claim.
 				this.ledger.drop(id);
 				return createCallEnd(createRefused(RefusalReason.StoreUnavailable));
 			}
--- a/src/executor/backend-call.ts
+++ b/src/executor/backend-call.ts
@@ -175,7 +175,7 @@
 	/** Aborts the request, as its answer is no longer needed. */
 	cancel(): void {
 		this.isCanceled = true;
-		this.controller?.abort(new AbortedError('call canceled'));
+		this.controller?.abort(new AbortedError('canceled'));
 	}
 
 	private startStream(controller: Dispatcher.DispatchController): void {
--- a/src/ingress/ingress.ts
+++ b/src/ingress/ingress.ts
@@ -103,10 +103,10 @@
 	}
 
 	/**
-	 * @param span - how long a connection may stay idle, in ms.
+	 * @param duration - how long a connection may stay idle, in ms.
 	 */
-	setIdleTimeout(span: Millis): void {
-		this.server.keepAliveTimeout = span;
+	setIdleTimeout(duration: Millis): void {
+		this.server.keepAliveTimeout = duration;
 	}
 
 	/** Stops accepting connections and closes idle ones. */
--- a/src/ingress/nearest-first-placement.ts
+++ b/src/ingress/nearest-first-placement.ts
@@ -11,7 +11,7 @@
 	type Placement,
 	type PlacementQuery,
 } from '../routing/index.js';
-import {HedgeDelayEstimator} from './hedge-timer.js';
+import {HedgeDelayEstimator} from './hedge-delay-estimator.js';
 
 export interface NearestFirstDependencies {
 	readonly clock: Clock;
@@ -81,15 +81,15 @@
 		}
 	}
 
-	recordEnded(query: PlacementQuery, executor: Member, news: AttemptOutcome): void {
-		this.deps.routing.recordEnded(executor.id, news.sentAt, news.load);
-		if (news.answerBytes !== undefined) {
-			this.hedgeDelays.add(query.service, this.deps.clock.now() - news.sentAt);
+	recordEnded(query: PlacementQuery, executor: Member, outcome: AttemptOutcome): void {
+		this.deps.routing.recordEnded(executor.id, outcome.sentAt, outcome.load);
+		if (outcome.answerBytes !== undefined) {
+			this.hedgeDelays.add(query.service, this.deps.clock.now() - outcome.sentAt);
 		}
 	}
 
-	avoid(id: string, span: Millis): void {
-		this.deps.routing.avoid(id, span);
+	avoid(id: string, duration: Millis): void {
+		this.deps.routing.avoid(id, duration);
 	}
 
 	forget(id: string): void {
--- a/src/ingress/turmeric-caller-protocol.ts
+++ b/src/ingress/turmeric-caller-protocol.ts
@@ -83,7 +83,7 @@
 		return headers;
 	}
 
-	// A refusal before the owner of an idempotency key was queried does not tell whether an earlier
+	// A refusal before the owner of an idempotency key was queried does not show whether an earlier
 	// request with the same key has run.
 	refineReason(req: IncomingMessage, reason: RefusalReason): RefusalReason {
 		const hasKey = readHeader(req, keyHeader) !== undefined;
