--- a/src/node/__tests__/unit/backend-keeper.test.ts
+++ b/src/node/__tests__/unit/backend-keeper.test.ts
@@ -9,7 +9,7 @@
 import {AnnouncedState, type Announcement} from '../../announcement.js';
 import {BackendMonitor} from '../../backend-keeper.js';
 
-function createWorld(isRestart = false) {
+function createFixture(isRestart = false) {
 	const clock = new ManualClock(1000);
 	const gossip = createTestGossip(clock);
 	const executor = new Executor({
@@ -26,7 +26,7 @@
 		onLoadChanged: () => undefined,
 		probeSpeed: async () => undefined,
 	});
-	const keeper = new BackendMonitor({
+	const monitor = new BackendMonitor({
 		clock,
 		logger: silentLogger,
 		executor,
@@ -35,10 +35,10 @@
 		announcementTimeout: 9000,
 		isRestart,
 	});
-	return {clock, gossip, executor, keeper};
+	return {clock, gossip, executor, monitor};
 }
 
-function announce(
+function createAnnouncement(
 	startedAt: Millis,
 	sequence: number,
 	change?: Partial<Announcement>,
@@ -61,104 +61,108 @@
 
 const draining = {state: AnnouncedState.Draining};
 
-describe('BackendKeeper', () => {
-	it('takes no late announcement for a backend server that left before the node was restarted', () => {
-		const {keeper, executor} = createWorld(true);
-		keeper.handleAnnouncement(announce(5, 2));
-		expect(keeper.state).toBe(BackendState.Absent);
+describe('BackendMonitor', () => {
+	it('ignores a late announcement of a backend server that departed before the node restarted', () => {
+		const {monitor, executor} = createFixture(true);
+		monitor.handleAnnouncement(createAnnouncement(5, 2));
+		expect(monitor.state).toBe(BackendState.Absent);
 		expect(executor.service).toBeUndefined();
-		keeper.handleAnnouncement(announce(5, 1));
-		keeper.handleAnnouncement(announce(5, 2));
-		expect(keeper.state).toBe(BackendState.Absent);
-		keeper.handleAnnouncement(announce(5, 4, draining));
-		expect(keeper.state).toBe(BackendState.Draining);
+		monitor.handleAnnouncement(createAnnouncement(5, 1));
+		monitor.handleAnnouncement(createAnnouncement(5, 2));
+		expect(monitor.state).toBe(BackendState.Absent);
+		monitor.handleAnnouncement(createAnnouncement(5, 4, draining));
+		expect(monitor.state).toBe(BackendState.Draining);
 	});
 
-	it('takes the backend server back after a restart when a later announcement or its health confirms it', () => {
-		const told = createWorld(true);
-		told.keeper.handleAnnouncement(announce(5, 2));
-		told.keeper.handleAnnouncement(announce(5, 3));
-		expect(told.executor.service).toBe('s');
-		const asked = createWorld(true);
-		asked.keeper.handleAnnouncement(announce(5, 2));
-		asked.keeper.handleAnnouncement(announce(5, 0, {startedAt: undefined, sequence: undefined}));
-		expect(asked.executor.service).toBe('s');
-		asked.keeper.handleAnnouncement(announce(5, 3));
-		expect(asked.keeper.state).not.toBe(BackendState.Absent);
+	it('attaches the backend server after a restart of the node once a later announcement or its health path confirms it', () => {
+		const announced = createFixture(true);
+		announced.monitor.handleAnnouncement(createAnnouncement(5, 2));
+		announced.monitor.handleAnnouncement(createAnnouncement(5, 3));
+		expect(announced.executor.service).toBe('s');
+		const probed = createFixture(true);
+		probed.monitor.handleAnnouncement(createAnnouncement(5, 2));
+		probed.monitor.handleAnnouncement(
+			createAnnouncement(5, 0, {startedAt: undefined, sequence: undefined}),
+		);
+		expect(probed.executor.service).toBe('s');
+		probed.monitor.handleAnnouncement(createAnnouncement(5, 3));
+		expect(probed.monitor.state).not.toBe(BackendState.Absent);
 	});
 
-	it('keeps the backend server that its health path told of against a late one of another start', () => {
-		const {keeper} = createWorld(true);
-		keeper.handleAnnouncement(announce(9, 0, {startedAt: undefined, sequence: undefined}));
-		keeper.handleAnnouncement(announce(5, 7));
-		expect(keeper.current?.instance).toBe('i-9');
-		keeper.handleAnnouncement(announce(9, 1));
-		expect(keeper.current?.startedAt).toBe(9);
+	it('keeps the backend server found by its health path despite a late announcement of another start', () => {
+		const {monitor} = createFixture(true);
+		monitor.handleAnnouncement(
+			createAnnouncement(9, 0, {startedAt: undefined, sequence: undefined}),
+		);
+		monitor.handleAnnouncement(createAnnouncement(5, 7));
+		expect(monitor.current?.instance).toBe('i-9');
+		monitor.handleAnnouncement(createAnnouncement(9, 1));
+		expect(monitor.current?.startedAt).toBe(9);
 	});
 
-	it('stays draining when an older announcement comes late', () => {
-		const {keeper, gossip} = createWorld();
-		keeper.handleAnnouncement(announce(5, 1));
-		keeper.handleAnnouncement(announce(5, 3, draining));
-		keeper.handleAnnouncement(announce(5, 2));
-		expect(keeper.state).toBe(BackendState.Draining);
+	it('stays draining when an older announcement arrives late', () => {
+		const {monitor, gossip} = createFixture();
+		monitor.handleAnnouncement(createAnnouncement(5, 1));
+		monitor.handleAnnouncement(createAnnouncement(5, 3, draining));
+		monitor.handleAnnouncement(createAnnouncement(5, 2));
+		expect(monitor.state).toBe(BackendState.Draining);
 		expect(gossip.localMember.phase).toBe(MemberPhase.Draining);
 	});
 
-	it('stays draining when the same start says again that it is ready, also after a silence', () => {
-		const {keeper, clock} = createWorld();
-		keeper.handleAnnouncement(announce(5, 1));
-		keeper.handleAnnouncement(announce(5, 2, draining));
-		keeper.handleAnnouncement(announce(5, 3));
-		expect(keeper.state).toBe(BackendState.Draining);
+	it('stays draining when the same start announces again that it serves, even after the announcement timeout', () => {
+		const {monitor, clock} = createFixture();
+		monitor.handleAnnouncement(createAnnouncement(5, 1));
+		monitor.handleAnnouncement(createAnnouncement(5, 2, draining));
+		monitor.handleAnnouncement(createAnnouncement(5, 3));
+		expect(monitor.state).toBe(BackendState.Draining);
 		clock.advance(10_000);
-		expect(keeper.state).toBe(BackendState.Absent);
-		keeper.handleAnnouncement(announce(5, 4));
-		expect(keeper.state).toBe(BackendState.Draining);
+		expect(monitor.state).toBe(BackendState.Absent);
+		monitor.handleAnnouncement(createAnnouncement(5, 4));
+		expect(monitor.state).toBe(BackendState.Draining);
 	});
 
-	it('does not take a late announcement of an earlier start for the server that is there', () => {
-		const {keeper, executor} = createWorld();
-		keeper.handleAnnouncement(announce(9, 1, {service: 'new'}));
-		keeper.handleAnnouncement(announce(5, 7, {service: 'old'}));
+	it('ignores a late announcement of an earlier start while a later one is attached', () => {
+		const {monitor, executor} = createFixture();
+		monitor.handleAnnouncement(createAnnouncement(9, 1, {service: 'new'}));
+		monitor.handleAnnouncement(createAnnouncement(5, 7, {service: 'old'}));
 		expect(executor.service).toBe('new');
-		keeper.handleAnnouncement(announce(5, 8, {service: 'old', ...draining}));
-		expect(keeper.state).not.toBe(BackendState.Draining);
+		monitor.handleAnnouncement(createAnnouncement(5, 8, {service: 'old', ...draining}));
+		expect(monitor.state).not.toBe(BackendState.Draining);
 	});
 
-	it('takes a new start under the same id whose numbers begin anew', () => {
-		const {keeper, gossip} = createWorld();
-		keeper.handleAnnouncement(announce(5, 9, {instance: 'i-same'}));
-		keeper.handleAnnouncement(announce(5, 10, {instance: 'i-same', ...draining}));
-		keeper.handleAnnouncement(announce(8, 0, {instance: 'i-same'}));
+	it('accepts a new start of the same instance whose sequence numbers begin again', () => {
+		const {monitor, gossip} = createFixture();
+		monitor.handleAnnouncement(createAnnouncement(5, 9, {instance: 'i-same'}));
+		monitor.handleAnnouncement(createAnnouncement(5, 10, {instance: 'i-same', ...draining}));
+		monitor.handleAnnouncement(createAnnouncement(8, 0, {instance: 'i-same'}));
 		expect(gossip.localMember.phase).toBe(MemberPhase.Serving);
 	});
 
-	it('drains a backend server that deregisters first, and ignores what it says afterwards', () => {
-		const {keeper, gossip} = createWorld();
-		keeper.handleAnnouncement(announce(5, 1));
-		keeper.handleDeparture({instance: 'i-5', startedAt: 5});
-		expect(keeper.state).toBe(BackendState.Draining);
-		keeper.handleAnnouncement(announce(5, 2));
-		expect(keeper.state).toBe(BackendState.Draining);
-		keeper.handleAnnouncement(announce(6, 0));
+	it('drains a backend server on its departure and ignores its later announcements', () => {
+		const {monitor, gossip} = createFixture();
+		monitor.handleAnnouncement(createAnnouncement(5, 1));
+		monitor.handleDeparture({instance: 'i-5', startedAt: 5});
+		expect(monitor.state).toBe(BackendState.Draining);
+		monitor.handleAnnouncement(createAnnouncement(5, 2));
+		expect(monitor.state).toBe(BackendState.Draining);
+		monitor.handleAnnouncement(createAnnouncement(6, 0));
 		expect(gossip.localMember.phase).toBe(MemberPhase.Serving);
 	});
 
-	it('drains a backend server whose departure does not tell its start', () => {
-		const {keeper} = createWorld();
-		keeper.handleAnnouncement(announce(5, 1));
-		keeper.handleDeparture({instance: 'i-5', startedAt: undefined});
-		expect(keeper.state).toBe(BackendState.Draining);
-		keeper.handleAnnouncement(announce(5, 2));
-		expect(keeper.state).toBe(BackendState.Draining);
+	it('drains a backend server whose departure does not name its start', () => {
+		const {monitor} = createFixture();
+		monitor.handleAnnouncement(createAnnouncement(5, 1));
+		monitor.handleDeparture({instance: 'i-5', startedAt: undefined});
+		expect(monitor.state).toBe(BackendState.Draining);
+		monitor.handleAnnouncement(createAnnouncement(5, 2));
+		expect(monitor.state).toBe(BackendState.Draining);
 	});
 
-	it('is not moved by the late deregistration of an earlier start', () => {
-		const {keeper, gossip} = createWorld();
-		keeper.handleAnnouncement(announce(5, 1));
-		keeper.handleAnnouncement(announce(8, 1));
-		keeper.handleDeparture({instance: 'i-5', startedAt: 5});
+	it('ignores the late departure of an earlier start', () => {
+		const {monitor, gossip} = createFixture();
+		monitor.handleAnnouncement(createAnnouncement(5, 1));
+		monitor.handleAnnouncement(createAnnouncement(8, 1));
+		monitor.handleDeparture({instance: 'i-5', startedAt: 5});
 		expect(gossip.localMember.phase).toBe(MemberPhase.Serving);
 	});
 });
--- a/src/node/announcement.ts
+++ b/src/node/announcement.ts
@@ -2,39 +2,39 @@
 import type {Millis} from '../clock/index.js';
 import {FindingsError, type Finding} from '../ini/index.js';
 
-/** What a backend server says of itself. */
+/** State that a backend server reports in its announcement. */
 export enum AnnouncedState {
 	Serving = 'serving',
 	Draining = 'draining',
 }
 
-/** A backend server's announcement to the node beside it. */
+/** Announcement that a backend server sends to the node on its VM. */
 export interface Announcement {
 	readonly service: string;
-	/** IP number on which it takes requests. */
+	/** IP address on which it accepts requests. */
 	readonly address: string;
 	readonly port: number;
-	/** Calls that it can run at once. */
+	/** Number of calls that it can run concurrently. */
 	readonly slots: number;
-	/** Connections that it takes at the most; undefined where the declaration says it. */
+	/** Maximum number of connections that it accepts; undefined if only the declaration sets it. */
 	readonly connections: number | undefined;
 	/** Unique for each start of the backend server. */
 	readonly instance: string;
 	readonly state: AnnouncedState;
 	/** Path of its health endpoint; empty for none. */
 	readonly healthPath: string;
-	/** Orders the starts at one address; undefined where the backend server does not tell it. */
+	/** Orders the starts at one address; undefined if the backend server does not report it. */
 	readonly startedAt: number | undefined;
-	/** Orders the announcements of one start; undefined where they are not numbered. */
+	/** Orders the announcements of one start; undefined if they are not numbered. */
 	readonly sequence: number | undefined;
-	/** How much longer the backend server is slow after its start, in ms. */
+	/** Remaining warm-up time, in ms, during which the backend server is slower than usual. */
 	readonly warmUpLeft: Millis;
 }
 
-/** A backend server says that it takes no more work and will not announce itself again. */
+/** Notice of a backend server that it accepts no more work and sends no further announcements. */
 export interface Departure {
 	readonly instance: string;
-	/** Orders the starts at one address; undefined where the backend server does not tell it. */
+	/** Orders the starts at one address; undefined if the backend server does not report it. */
 	readonly startedAt: number | undefined;
 }
 
@@ -43,7 +43,7 @@
 const source = 'announcement';
 const states = Object.values(AnnouncedState);
 
-/** Reads the fields of an announcement and collects what is wrong. */
+/** Reads the fields of an announcement and collects the findings. */
 class FieldReader {
 	readonly findings: Finding[] = [];
 
--- a/src/node/backend-finder.ts
+++ b/src/node/backend-finder.ts
@@ -8,53 +8,53 @@
 import type {BackendMonitor} from './backend-keeper.js';
 import {toHeaderList} from './header-list.js';
 
-/** What a finder is made of. */
+/** Collaborators of {@link BackendFinder}. */
 export interface BackendFinderDependencies {
 	readonly clock: Clock;
 	readonly logger: Logger;
 	readonly revisions: RevisionTracker;
 	readonly backend: BackendMonitor;
 	readonly protocol: BackendProtocol;
-	/** Where the backend server listens by the settings. */
+	/** Address and port of the backend server according to the settings. */
 	readonly endpoint: Endpoint;
-	/** Its service by the settings. */
+	/** Service of the backend server according to the settings. */
 	readonly service: string;
 }
 
-const askPeriod: Millis = 60;
-const askTimeout: Millis = 300;
-/** The settings tell where the backend server is at the start of the process, and no longer. */
-const findTime: Millis = 4 * second;
+const queryPeriod: Millis = 60;
+const queryTimeout: Millis = 300;
+/** The endpoint in the settings is valid only at the start of the process. */
+const searchDuration: Millis = 4 * second;
 const okStatus = 200;
 
 /**
- * Finds the backend server that ran on while its node was started anew, without waiting for its next
- * announcement.
+ * Queries the health endpoint of a backend server that kept running while its node restarted, so that
+ * the node need not wait for the next announcement.
  */
 export class BackendFinder {
 	private readonly agent = new Agent({connections: 1});
 
-	constructor(private readonly parts: BackendFinderDependencies) {}
+	constructor(private readonly deps: BackendFinderDependencies) {}
 
-	/** Starts looking, until the backend server is there or time is up. */
+	/** Queries the endpoint until the backend server is present or the search duration has passed. */
 	start(): void {
-		const {clock, backend} = this.parts;
-		const until = clock.now() + findTime;
-		const look = async () => {
-			await this.ask();
+		const {clock, backend} = this.deps;
+		const until = clock.now() + searchDuration;
+		const search = async () => {
+			await this.queryHealth();
 			if (!backend.isPresent && !backend.hasAnnounced && clock.now() < until) {
-				clock.after(askPeriod, () => {
-					void look();
+				clock.after(queryPeriod, () => {
+					void search();
 				});
 			}
 		};
 
-		void look();
+		void search();
 	}
 
-	private async ask(): Promise<void> {
-		const {revisions: keeper, service, endpoint, backend, protocol, logger} = this.parts;
-		const path = keeper.inForce?.service(service)?.healthPath;
+	private async queryHealth(): Promise<void> {
+		const {revisions, service, endpoint, backend, protocol, logger} = this.deps;
+		const path = revisions.inForce?.service(service)?.healthPath;
 		if (path === undefined || backend.hasAnnounced) {
 			return;
 		}
@@ -64,7 +64,7 @@
 				origin: `http://${formatEndpoint(endpoint)}`,
 				path,
 				method: 'GET',
-				signal: AbortSignal.timeout(askTimeout),
+				signal: AbortSignal.timeout(queryTimeout),
 			});
 			await res.body.dump();
 			const headers = toHeaderList(res.headers);
--- a/src/node/backend-keeper.ts
+++ b/src/node/backend-keeper.ts
@@ -7,45 +7,45 @@
 import {logEvents, type Logger} from '../telemetry/index.js';
 import {AnnouncedState, type Announcement, type Departure} from './announcement.js';
 
-/** What a backend keeper is made of. */
+/** Collaborators of {@link BackendMonitor}. */
 export interface BackendMonitorDependencies {
 	readonly clock: Clock;
 	readonly logger: Logger;
 	readonly executor: Executor;
 	readonly gossip: Gossip;
 	readonly revisions: RevisionTracker;
-	/** A backend server that has not announced itself for so long is taken for gone, in ms. */
+	/** Time without an announcement after which the backend server counts as gone, in ms. */
 	readonly announcementTimeout?: Millis;
-	/** Whether this process took the place of one that may have known more of the backend server. */
+	/** Whether this process replaces one that may have processed later announcements. */
 	readonly isRestart: boolean;
 }
 
-const watchPeriod: Millis = 400;
-/** Four of the product's own announcements. */
-const defaultSilenceLimit: Millis = 4 * second;
-/** How much longer work takes while a backend server warms up. Source: the users' sheets. */
+const checkPeriod: Millis = 400;
+/** Four announcement periods of a backend server that uses the native announcement protocol. */
+const defaultAnnouncementTimeout: Millis = 4 * second;
+/** Factor by which a call takes longer while the backend server warms up. */
 const warmingSlowdown = 2;
 const defaultConnections = 100;
 const defaultQueue = 40;
 const defaultWarmUp: Millis = 5 * second;
 
-/** Follows the lifecycle of the backend server beside this node. */
+/** Tracks the lifecycle of the backend server on this VM. */
 export class BackendMonitor {
 	private readonly lifecycle = createActor(backendMachine).start();
 	private announcement: Announcement | undefined;
-	/** The start of the backend server that last said that it drains. */
+	/** Last start of the backend server that announced that it is draining. */
 	private drained: Departure | undefined;
-	/** The start of the backend server that last said that it has left. */
+	/** Last start of the backend server whose departure was received. */
 	private departed: Departure | undefined;
 	private announcedAt: Millis = 0;
 	private startedAt: Millis = 0;
 	private isNodeDraining = false;
-	/** Says that it serves, but may have said so long ago. */
+	/** Announcement of a serving backend server that may be outdated; see `isConfirmed`. */
 	private unconfirmed: Announcement | undefined;
 
-	constructor(private readonly parts: BackendMonitorDependencies) {
-		parts.clock.repeat(watchPeriod, () => {
-			this.watch();
+	constructor(private readonly deps: BackendMonitorDependencies) {
+		deps.clock.repeat(checkPeriod, () => {
+			this.checkAnnouncementAge();
 		});
 	}
 
@@ -53,24 +53,24 @@
 		return this.lifecycle.getSnapshot().value;
 	}
 
-	/** Whether a backend server has said something since this node started. */
+	/** Whether an announcement or a departure was received since this node started. */
 	get hasAnnounced(): boolean {
 		return this.announcement !== undefined || this.departed !== undefined;
 	}
 
-	/** Whether there is a backend server, draining or not. */
+	/** Whether a backend server is present, draining or not. */
 	get isPresent(): boolean {
 		return this.state !== BackendState.Absent;
 	}
 
-	/** The last announcement of the backend server; undefined while there is none. */
+	/** The last accepted announcement; undefined if there is none. */
 	get current(): Announcement | undefined {
 		return this.announcement;
 	}
 
 	/**
-	 * The backend server has announced itself.
-	 * @param announcement - what it says.
+	 * Handles an announcement: attaches a new backend server, or updates the state of the known one.
+	 * @param announcement - the announcement; it may be late, repeated or out of order.
 	 */
 	handleAnnouncement(announcement: Announcement): void {
 		if (this.isNodeDraining) {
@@ -80,14 +80,15 @@
 		const reason = this.reasonToIgnore(announcement);
 		if (reason !== undefined) {
 			const {instance, state, sequence} = announcement;
-			this.parts.logger.log(logEvents.announcementRejected, {instance, state, sequence, reason});
+			this.deps.logger.log(logEvents.announcementRejected, {instance, state, sequence, reason});
 			return;
 		}
 
 		if (!this.isConfirmed(announcement)) {
 			const {instance, sequence} = announcement;
-			this.parts.logger.log(logEvents.announcementUnconfirmed, {instance, sequence});
-			// The latest of a start stays, so that an older one cannot be followed by it once more.
+			this.deps.logger.log(logEvents.announcementUnconfirmed, {instance, sequence});
+			// The first one of a start stays recorded: a repeated older announcement must not lower the
+			// sequence number that the next one has to exceed.
 			if (!isSameStart(this.unconfirmed, announcement)) {
 				this.unconfirmed = announcement;
 			}
@@ -97,7 +98,7 @@
 
 		const previous = this.announcement;
 		this.announcement = announcement;
-		this.announcedAt = this.parts.clock.now();
+		this.announcedAt = this.deps.clock.now();
 		const isAbsent = this.state === BackendState.Absent;
 		if (isAbsent || !isSameStart(previous, announcement)) {
 			this.attach(announcement, isAbsent);
@@ -113,38 +114,38 @@
 	}
 
 	/**
-	 * The backend server has said that it leaves.
-	 * @param departure - which start of it.
+	 * Drains the backend server after it has announced its departure.
+	 * @param departure - the start that departs; a departure of another start is only recorded.
 	 */
 	handleDeparture(departure: Departure): void {
 		this.departed = departure;
 		const {instance, startedAt} = departure;
-		this.parts.logger.log(logEvents.backendDeparted, {instance, startedAt});
+		this.deps.logger.log(logEvents.backendDeparted, {instance, startedAt});
 		if (isSameStart(this.announcement, departure)) {
 			this.drain();
 		}
 	}
 
-	/** How much longer than usual work takes as the backend server has just started. */
+	/** Factor by which a call takes longer because the backend server has just started. */
 	private get warmUpSlowdown(): number {
 		const left = this.announcement?.warmUpLeft ?? 0;
-		return this.parts.clock.now() - this.announcedAt < left ? warmingSlowdown : 1;
+		return this.deps.clock.now() - this.announcedAt < left ? warmingSlowdown : 1;
 	}
 
-	/** The backend server refuses connections: it is gone, whatever it announced last. */
+	/** Detaches the backend server because it refuses connections, whatever it announced last. */
 	markUnreachable(): void {
 		if (this.state !== BackendState.Absent) {
 			this.detach();
 		}
 	}
 
-	/** The node stops; the backend server finishes its work. */
+	/** Drains the backend server because the node stops; calls in flight finish. */
 	drainNode(): void {
 		this.isNodeDraining = true;
 		this.drain();
 	}
 
-	// Announcements travel over a network: they can come late, twice, and out of order.
+	// Announcements cross a network and can arrive late, twice or out of order.
 	private reasonToIgnore(announcement: Announcement): string | undefined {
 		if (isSameStart(this.departed, announcement)) {
 			return 'it has left';
@@ -164,17 +165,18 @@
 		return isOld ? 'out of order' : undefined;
 	}
 
-	// What a restarted node hears first may be old: the backend server may have left since, and the
-	// process that acknowledged it is gone. It counts once its health path tells the same or a later
-	// announcement follows.
+	// The first announcement after a restart of the node may be outdated: the backend server may have
+	// departed since, and the process that acknowledged the departure is gone. The announcement counts
+	// once the health path reports the same instance or a later announcement of the same start follows.
 	private isConfirmed(announcement: Announcement): boolean {
 		const {instance, startedAt, sequence} = announcement;
-		const isTold = startedAt !== undefined && announcement.state === AnnouncedState.Serving;
+		const isOrderedServing =
+			startedAt !== undefined && announcement.state === AnnouncedState.Serving;
 		const found = this.announcement;
-		const isFirst = this.parts.isRestart && found === undefined;
+		const isFirst = this.deps.isRestart && found === undefined;
 		const isOtherThanFound =
 			found !== undefined && found.startedAt === undefined && found.instance !== instance;
-		if (!isTold || !(isFirst || isOtherThanFound)) {
+		if (!isOrderedServing || !(isFirst || isOtherThanFound)) {
 			return true;
 		}
 
@@ -184,9 +186,9 @@
 
 	private attach(announcement: Announcement, isAbsent: boolean): void {
 		const {address, port, service, instance} = announcement;
-		const policy = this.parts.revisions.inForce?.service(service);
+		const policy = this.deps.revisions.inForce?.service(service);
 		const connections = announcement.connections ?? policy?.connections ?? defaultConnections;
-		const {executor, logger, clock} = this.parts;
+		const {executor, logger, clock} = this.deps;
 		this.startedAt = clock.now();
 		if (!isAbsent) {
 			executor.detach();
@@ -200,9 +202,9 @@
 	}
 
 	private detach(): void {
-		this.parts.executor.detach();
+		this.deps.executor.detach();
 		this.lifecycle.send({type: BackendEvent.Silent});
-		this.parts.logger.log(logEvents.backendGone, {instance: this.announcement?.instance});
+		this.deps.logger.log(logEvents.backendGone, {instance: this.announcement?.instance});
 		this.declare(this.isNodeDraining ? MemberPhase.Draining : MemberPhase.Joining);
 	}
 
@@ -211,16 +213,16 @@
 			return;
 		}
 
-		this.parts.executor.drain();
+		this.deps.executor.drain();
 		this.lifecycle.send({type: BackendEvent.Drained});
-		this.parts.logger.log(logEvents.backendDraining, {instance: this.announcement?.instance});
+		this.deps.logger.log(logEvents.backendDraining, {instance: this.announcement?.instance});
 		this.declare(MemberPhase.Draining);
 	}
 
-	private watch(): void {
-		const limit = this.parts.announcementTimeout ?? defaultSilenceLimit;
-		const isSilent = this.parts.clock.now() - this.announcedAt > limit;
-		if (isSilent && this.state !== BackendState.Absent && !this.isNodeDraining) {
+	private checkAnnouncementAge(): void {
+		const limit = this.deps.announcementTimeout ?? defaultAnnouncementTimeout;
+		const isOverdue = this.deps.clock.now() - this.announcedAt > limit;
+		if (isOverdue && this.state !== BackendState.Absent && !this.isNodeDraining) {
 			this.detach();
 		}
 
@@ -233,14 +235,14 @@
 			return;
 		}
 
-		const policy = this.parts.revisions.inForce?.service(announcement.service);
-		const age = this.parts.clock.now() - this.startedAt;
+		const policy = this.deps.revisions.inForce?.service(announcement.service);
+		const age = this.deps.clock.now() - this.startedAt;
 		const warmUp = policy?.warmUp ?? defaultWarmUp;
 		const connections = announcement.connections ?? policy?.connections ?? announcement.slots;
 		const slots = Math.min(announcement.slots, connections);
 		const isWarm = age >= warmUp;
-		this.parts.executor.setWarmUp(this.warmUpSlowdown);
-		this.parts.executor.setLimits(
+		this.deps.executor.setWarmUp(this.warmUpSlowdown);
+		this.deps.executor.setLimits(
 			isWarm ? slots : warmingSlots(slots, age, warmUp),
 			policy?.queue ?? defaultQueue,
 		);
@@ -252,12 +254,12 @@
 	private declare(phase: MemberPhase): void {
 		const service = this.announcement?.service ?? '';
 		const slots = this.announcement?.slots ?? 0;
-		this.parts.gossip.updateLocalMember({phase, service, slots});
-		this.parts.gossip.broadcastUpdates(3);
+		this.deps.gossip.updateLocalMember({phase, service, slots});
+		this.deps.gossip.broadcastUpdates(3);
 	}
 }
 
 function isSameStart(a: Departure | undefined, b: Departure): boolean {
-	const isUntold = a?.startedAt === undefined || b.startedAt === undefined;
-	return a?.instance === b.instance && (isUntold || a.startedAt === b.startedAt);
+	const isStartUnknown = a?.startedAt === undefined || b.startedAt === undefined;
+	return a?.instance === b.instance && (isStartUnknown || a.startedAt === b.startedAt);
 }
--- a/src/node/backend-probe.ts
+++ b/src/node/backend-probe.ts
@@ -9,31 +9,32 @@
 import type {BackendMonitor} from './backend-keeper.js';
 import {toHeaderList} from './header-list.js';
 
-/** How often and how much a node probes. */
+/** Schedule and budget of the health probes. */
 export interface ProbeRate {
-	/** Time between two looks whether a probe is due. */
+	/** Interval between two checks whether a probe is due. */
 	readonly period: Millis;
-	/** Age from which on the known speed is read anew; probes are due always where undefined. */
+	/** Age from which the known speed is outdated; if undefined, a probe is due at every check. */
 	readonly maxSpeedAge: Millis | undefined;
-	/** How long after the last call the speed is still kept fresh; a call asks for it anyway. */
+	/** Time after the last call during which the speed is kept up to date; a later call probes anyway. */
 	readonly idleTimeout: Millis;
-	/** Time that probes may take at the backend server where nothing is declared, in ms a second. */
+	/** Probe time allowed at the backend server if the declaration sets none, in ms per second. */
 	readonly defaultBudget: Millis;
 }
 
-/** What a probe needs to know of the executor, and tells it. */
+/** Part of the executor that the probe reads and updates. */
 export interface ProbedExecutor {
-	/** Age of what is known of the backend server's speed, in ms. */
+	/** Age of the last speed reading of the backend server, in ms. */
 	readonly speedAge: Millis;
-	/** Time since a call last asked to run here, in ms. */
+	/** Time since the last request to run a call here, in ms. */
 	readonly idleTime: Millis;
 	/**
-	 * @param slowdown - how many times longer than usual work takes.
+	 * Records a speed reading.
+	 * @param slowdown - factor by which a call takes longer than usual.
 	 */
 	readSpeed(slowdown: number): void;
 }
 
-/** What a probe is made of. */
+/** Collaborators of {@link BackendProbe}. */
 export interface BackendProbeDependencies {
 	readonly clock: Clock;
 	readonly metrics: Metrics;
@@ -45,13 +46,14 @@
 }
 
 const probeTimeout: Millis = second;
-/** How long a call waits for the speed; a probe takes about 6 ms. Source: the users' sheets. */
-const patience: Millis = 12;
+/** How long a call waits for a speed reading; a probe takes about 6 ms. */
+const probeWaitLimit: Millis = 12;
+/** Probe time that can be saved up, in seconds of the rate. */
 const budgetDepth = 10;
-/** How long calls go on without a probe after one that told no speed. */
-const muteTime: Millis = second;
+/** How long calls trigger no probe after one that failed or reported no speed. */
+const suppressionTime: Millis = second;
 
-/** A cross-check of the product's own announcements. */
+/** Rate at which health probes cross-check announcements of the native protocol. */
 export const crossCheckRate: ProbeRate = {
 	period: 2 * second,
 	maxSpeedAge: undefined,
@@ -60,83 +62,83 @@
 };
 
 /**
- * @param rate - how often probes are wanted.
- * @param executor - what is known there.
- * @returns whether a probe is worth its cost now.
+ * @param rate - schedule of the probes.
+ * @param executor - age of the speed reading, and time since the last call.
+ * @returns whether a probe is due: the speed reading is outdated and the backend server is not idle.
  */
 export function isProbeDue(
-	{maxSpeedAge: speedAge, idleTimeout: idleAfter}: ProbeRate,
+	{maxSpeedAge, idleTimeout}: ProbeRate,
 	executor: Pick<ProbedExecutor, 'speedAge' | 'idleTime'>,
 ): boolean {
-	const isOld = speedAge === undefined || executor.speedAge >= speedAge;
-	return isOld && executor.idleTime <= idleAfter;
+	const isOutdated = maxSpeedAge === undefined || executor.speedAge >= maxSpeedAge;
+	return isOutdated && executor.idleTime <= idleTimeout;
 }
 
 /**
- * Asks the health endpoint of the backend server. Its verdict lags and misleads: a refused connection
- * counts, and the speed that it tells. Time spent is charged to a budget; when it is empty, probes
- * stop.
+ * Probes the health endpoint of the backend server. The health status lags and misleads, so only a
+ * refused connection and the reported speed are used. The time spent is charged to a budget; while it
+ * is exhausted, no probes are sent.
  */
 export class BackendProbe {
 	private readonly budget: TokenBucket;
 	private readonly agent = new Agent({connections: 1});
-	private out: Promise<void> | undefined;
-	private isLooking = false;
-	/** Until then the backend server is not asked by calls, as it did not tell its speed. */
-	private muteUntil: Millis = 0;
+	private pending: Promise<void> | undefined;
+	private isScheduled = false;
+	/** Time until which calls trigger no probe, as the last probe reported no speed. */
+	private suppressedUntil: Millis = 0;
 
-	constructor(private readonly parts: BackendProbeDependencies) {
-		this.budget = new TokenBucket(parts.clock, parts.rate.defaultBudget, budgetDepth);
+	constructor(private readonly deps: BackendProbeDependencies) {
+		this.budget = new TokenBucket(deps.clock, deps.rate.defaultBudget, budgetDepth);
 	}
 
-	/** Starts probing; where only calls need the speed, the first of them starts it. */
+	/** Starts the schedule; it pauses after `idleTimeout` without calls, and the next call resumes it. */
 	start(): void {
-		this.lookLater();
+		this.scheduleNext();
 	}
 
-	/** Probes, or waits for the probe that is out; for a short time, as calls wait for it. */
+	/** Sends a probe or joins the pending one; waits only briefly, as a call is waiting for the result. */
 	async probeNow(): Promise<void> {
-		this.lookLater();
-		if (this.parts.clock.now() < this.muteUntil) {
+		this.scheduleNext();
+		if (this.deps.clock.now() < this.suppressedUntil) {
 			return;
 		}
 
-		if (!this.out) {
-			this.out = this.probe();
-			void this.out.then(() => {
-				this.out = undefined;
+		if (!this.pending) {
+			this.pending = this.probe();
+			void this.pending.then(() => {
+				this.pending = undefined;
 			});
 		}
 
-		await Promise.race([this.out, pause(this.parts.clock, patience)]);
+		await Promise.race([this.pending, pause(this.deps.clock, probeWaitLimit)]);
 	}
 
-	private lookLater(): void {
-		const {clock, rate, executor} = this.parts;
-		if (this.isLooking) {
+	private scheduleNext(): void {
+		const {clock, rate, executor} = this.deps;
+		if (this.isScheduled) {
 			return;
 		}
 
-		this.isLooking = true;
+		this.isScheduled = true;
 		const untilDue = rate.maxSpeedAge === undefined ? 0 : rate.maxSpeedAge - executor.speedAge;
 		clock.after(Math.max(rate.period, untilDue), () => {
-			this.isLooking = false;
+			this.isScheduled = false;
 			if (executor.idleTime > rate.idleTimeout) {
 				return;
 			}
 
-			if (!this.out && isProbeDue(rate, executor)) {
+			if (!this.pending && isProbeDue(rate, executor)) {
 				void this.probeNow();
 			}
 
-			this.lookLater();
+			this.scheduleNext();
 		});
 	}
 
 	private async probe(): Promise<void> {
-		const {backend, clock, revisions: keeper, metrics, rate, protocol, executor} = this.parts;
+		const {backend, clock, revisions, metrics, rate, protocol, executor} = this.deps;
 		const target = backend.current;
-		const policy = target && keeper.inForce?.service(target.service);
+		const policy = target && revisions.inForce?.service(target.service);
 		const path = target?.healthPath === '' ? policy?.healthPath : target?.healthPath;
 		if (!target || !path || !backend.isPresent) {
 			return;
@@ -160,10 +162,10 @@
 			if (load) {
 				executor.readSpeed(load.slowdown);
 			} else {
-				this.muteUntil = clock.now() + muteTime;
+				this.suppressedUntil = clock.now() + suppressionTime;
 			}
 		} catch (err) {
-			this.muteUntil = clock.now() + muteTime;
+			this.suppressedUntil = clock.now() + suppressionTime;
 			if (isRefused(err)) {
 				backend.markUnreachable();
 			}
--- a/src/node/crash-watcher.ts
+++ b/src/node/crash-watcher.ts
@@ -6,89 +6,91 @@
 import type {Endpoint} from '../settings/index.js';
 import {logEvents, type Logger} from '../telemetry/index.js';
 
-/** What a crash watcher is made of. */
+/** Collaborators of {@link CrashWatcher}. */
 export interface CrashWatcherDependencies {
 	readonly clock: Clock;
 	readonly logger: Logger;
 	readonly gossip: Gossip;
 	/** Incarnation of this node. */
 	readonly instance: string;
-	/** @returns where the backend server listens. */
+	/** @returns the address and port of the backend server; undefined if none is known. */
 	endpoint(): Endpoint | undefined;
-	/** The backend server takes no connections. */
+	/** Called when the backend server accepts no connections. */
 	markUnreachable(): void;
 }
 
-/** Calls that break within this time belong to one crash. */
+/** Broken calls within this time are attributed to the same crash. */
 const crashWindow: Millis = 200;
 const connectTimeout: Millis = 200;
-const maxReported = 40;
+/** Maximum number of fingerprints in a crash rumor. */
+const maxReportedFingerprints = 40;
+/** Number of members to which a crash rumor is pushed at once. */
 const pushFanOut = 4;
 
-/** Finds out about crashes of the backend server and tells all nodes what was in flight. */
+/** Detects crashes of the backend server and gossips the fingerprints of the calls in flight. */
 export class CrashWatcher implements CrashWatch {
 	private readonly guard = new CrashGuard();
-	private crashes = 0;
-	private lastCrash = Number.NEGATIVE_INFINITY;
+	private crashCount = 0;
+	private lastCrashAt = Number.NEGATIVE_INFINITY;
 
-	constructor(private readonly parts: CrashWatcherDependencies) {}
+	constructor(private readonly deps: CrashWatcherDependencies) {}
 
 	isHeld(fingerprint: string): boolean {
-		return this.guard.isHeld(fingerprint, this.parts.clock.now());
+		return this.guard.isHeld(fingerprint, this.deps.clock.now());
 	}
 
 	recordAnswered(fingerprint: string): void {
-		this.guard.recordAnswered(fingerprint, this.parts.clock.now());
+		this.guard.recordAnswered(fingerprint, this.deps.clock.now());
 	}
 
 	recordBroken(fingerprints: readonly string[]): void {
-		const now = this.parts.clock.now();
-		const endpoint = this.parts.endpoint();
-		if (now - this.lastCrash < crashWindow || !endpoint) {
+		const now = this.deps.clock.now();
+		const endpoint = this.deps.endpoint();
+		if (now - this.lastCrashAt < crashWindow || !endpoint) {
 			return;
 		}
 
-		this.lastCrash = now;
+		this.lastCrashAt = now;
 		const suspects = this.guard.suspects(fingerprints, now);
 		this.confirm(endpoint, () => {
-			this.tell(suspects);
+			this.reportCrash(suspects);
 		});
 	}
 
 	/**
-	 * Hears of a crash or of a lifted hold.
-	 * @param rumor - the news.
+	 * Handles the rumor of a crash or of a lifted hold.
+	 * @param rumor - the rumor; other kinds are ignored.
 	 */
 	handleRumor(rumor: Rumor): void {
 		if (rumor.kind === RumorKind.Crash) {
 			const report = {crashId: rumor.id, fingerprints: rumor.fields};
-			for (const fingerprint of this.guard.recordCrash(report, this.parts.clock.now())) {
-				this.parts.logger.log(logEvents.requestHeld, {fingerprint});
+			for (const fingerprint of this.guard.recordCrash(report, this.deps.clock.now())) {
+				this.deps.logger.log(logEvents.requestHeld, {fingerprint});
 			}
 		} else if (rumor.kind === RumorKind.HoldLifted) {
 			for (const fingerprint of rumor.fields) {
 				this.guard.lift(fingerprint);
-				this.parts.logger.log(logEvents.holdLifted, {fingerprint});
+				this.deps.logger.log(logEvents.holdLifted, {fingerprint});
 			}
 		}
 	}
 
-	/** @returns what is held back. */
+	/** @returns the fingerprints that are held back. */
 	holds(): Hold[] {
-		return this.guard.list(this.parts.clock.now());
+		return this.guard.list(this.deps.clock.now());
 	}
 
 	/**
-	 * Lets a request run again, on every node.
-	 * @param fingerprint - the request.
+	 * Lifts the hold on a request on every node.
+	 * @param fingerprint - fingerprint of the request.
 	 */
 	lift(fingerprint: string): void {
-		const id = `lift ${this.parts.instance} ${this.parts.clock.now()}`;
-		this.parts.gossip.spreadRumor({id, kind: RumorKind.HoldLifted, fields: [fingerprint]});
+		const id = `lift ${this.deps.instance} ${this.deps.clock.now()}`;
+		this.deps.gossip.spreadRumor({id, kind: RumorKind.HoldLifted, fields: [fingerprint]});
 	}
 
-	// One broken connection is no crash; a backend server that takes no connection is.
-	private confirm(endpoint: Endpoint, confirmed: () => void): void {
+	// A broken connection alone is no crash; it is one if the backend server also refuses a new connection.
+	private confirm(endpoint: Endpoint, onConfirmed: () => void): void {
 		const {address, port} = endpoint;
 		const socket = createConnection({host: address, port, timeout: connectTimeout});
 		socket.once('connect', () => {
@@ -98,17 +100,17 @@
 			socket.destroy();
 		});
 		socket.once('error', () => {
-			confirmed();
+			onConfirmed();
 		});
 	}
 
-	private tell(suspects: readonly string[]): void {
-		this.crashes += 1;
-		this.parts.logger.log(logEvents.backendCrashed, {suspects: suspects.length});
-		this.parts.markUnreachable();
-		const id = `crash ${this.parts.instance} ${this.crashes}`;
-		const fields = suspects.slice(0, maxReported);
-		this.parts.gossip.spreadRumor({id, kind: RumorKind.Crash, fields});
-		this.parts.gossip.broadcastUpdates(pushFanOut);
+	private reportCrash(suspects: readonly string[]): void {
+		this.crashCount += 1;
+		this.deps.logger.log(logEvents.backendCrashed, {suspects: suspects.length});
+		this.deps.markUnreachable();
+		const id = `crash ${this.deps.instance} ${this.crashCount}`;
+		const fields = suspects.slice(0, maxReportedFingerprints);
+		this.deps.gossip.spreadRumor({id, kind: RumorKind.Crash, fields});
+		this.deps.gossip.broadcastUpdates(pushFanOut);
 	}
 }
--- a/src/node/header-list.ts
+++ b/src/node/header-list.ts
@@ -1,8 +1,8 @@
 import type {HeaderList} from '../call/index.js';
 
 /**
- * @param headers - headers as the HTTP library gives them.
- * @returns names and values in turn.
+ * @param headers - headers as the HTTP library returns them; repeated headers are skipped.
+ * @returns alternating names and values.
  */
 export function toHeaderList(
 	headers: Readonly<Record<string, string | string[] | undefined>>,
--- a/src/node/link-budgets.ts
+++ b/src/node/link-budgets.ts
@@ -4,7 +4,7 @@
 import type {Gossip, Member} from '../membership/index.js';
 import {TrafficKind, type Metrics} from '../telemetry/index.js';
 
-/** What link budgets are made of. */
+/** Collaborators of {@link LinkBudgets}. */
 export interface LinkBudgetsDependencies {
 	readonly clock: Clock;
 	readonly metrics: Metrics;
@@ -13,35 +13,36 @@
 	gossip(): Gossip;
 }
 
-/** Counts and limits what control costs on the links between regions. */
+/** Counts and limits the control traffic on the links between regions. */
 export class LinkBudgets {
 	private readonly buckets: RegionBuckets;
 
-	constructor(private readonly parts: LinkBudgetsDependencies) {
-		this.buckets = new RegionBuckets(parts.clock);
+	constructor(private readonly deps: LinkBudgetsDependencies) {
+		this.buckets = new RegionBuckets(deps.clock);
 	}
 
 	/**
-	 * @param member - a member that is to be probed.
-	 * @returns whether the budget of the link to its region allows that.
+	 * @param member - member to probe.
+	 * @returns whether the budget of the link to the region of the member allows a probe.
 	 */
 	mayProbe(member: Member): boolean {
 		return (this.bucket(member.region)?.level ?? 1) > 0;
 	}
 
 	/**
-	 * @param to - id of the receiver.
-	 * @param bytes - bytes of control traffic that were sent.
+	 * Charges sent control traffic to the budget of the link.
+	 * @param to - id of the receiving member.
+	 * @param bytes - bytes of control traffic sent.
 	 */
 	chargeControl(to: string, bytes: number): void {
-		const region = this.parts.gossip().directory.get(to)?.region ?? 'unknown';
-		this.parts.metrics.linkBytes.inc({region, kind: TrafficKind.Control}, bytes);
+		const region = this.deps.gossip().directory.get(to)?.region ?? 'unknown';
+		this.deps.metrics.linkBytes.inc({region, kind: TrafficKind.Control}, bytes);
 		this.bucket(region)?.charge(bytes);
 	}
 
 	private bucket(region: string): TokenBucket | undefined {
-		const {localMember: account, directory} = this.parts.gossip();
-		const link = this.parts.revisions.inForce?.link(account.region, region);
+		const {localMember: account, directory} = this.deps.gossip();
+		const link = this.deps.revisions.inForce?.link(account.region, region);
 		const nodes = directory.countInRegion(account.region);
 		return link && this.buckets.bucket(region, link.controlBytesPerSecond, nodes);
 	}
--- a/src/node/load-news.ts
+++ b/src/node/load-news.ts
@@ -4,71 +4,72 @@
 import type {LinkHub} from '../link/index.js';
 import {Distance, distanceBetween, type Gossip} from '../membership/index.js';
 
-/** What load news are made of. */
+/** Collaborators of {@link LoadBroadcaster}. */
 export interface LoadBroadcasterDependencies {
 	readonly clock: Clock;
 	readonly gossip: Gossip;
 	readonly hub: LinkHub;
-	/** @returns the load of the own backend server. */
+	/** @returns the load of the local backend server. */
 	report(): LoadReport;
 }
 
-/** Least time between two pushes; a burst of changes becomes one. */
-const pushPeriod: Millis = 40;
+/** Minimum interval between two broadcasts; changes within it are coalesced. */
+const minBroadcastInterval: Millis = 40;
 /**
- * Messages a second by distance. Speeds change about twice a second, so that most of a zone of 20 nodes
- * hears of each change; a larger deployment relies on answers, which tell the load as well. Bytes to
- * other zones and regions are priced.
+ * Messages per second by distance. Speeds change about twice a second, so these rates inform most nodes
+ * of a zone of 20 of each change; larger deployments rely on the load that answers carry. Traffic to
+ * other zones and regions has a cost.
  */
-const sameZoneRate = 16;
-const otherZoneRate = 10;
-const otherRegionRate = 3;
-/** Seconds of a rate that can be saved up. */
+const sameZoneMessagesPerSecond = 16;
+const otherZoneMessagesPerSecond = 10;
+const otherRegionMessagesPerSecond = 3;
+/** Unused rate that can be saved up, in seconds. */
 const rateDepth = 1;
-/** Slowdown from which on a backend server counts as being in a slow spell. */
-const slowSpell = 2;
+/** Slowdown factor from which the backend server counts as being in a slow period. */
+const slowPeriodThreshold = 2;
 
-/** Tells linked peers when the load of the own backend server has changed. */
+/** Sends the load of the local backend server to linked peers when it has changed. */
 export class LoadBroadcaster {
 	private readonly budgets: ReadonlyMap<Distance, TokenBucket>;
 	private isScheduled = false;
-	private lastPush = Number.NEGATIVE_INFINITY;
+	private lastBroadcastAt = Number.NEGATIVE_INFINITY;
 	private wasSlow = false;
 
-	constructor(private readonly parts: LoadBroadcasterDependencies) {
-		const {clock} = parts;
+	constructor(private readonly deps: LoadBroadcasterDependencies) {
+		const {clock} = deps;
 		this.budgets = new Map([
-			[Distance.SameZone, new TokenBucket(clock, sameZoneRate, rateDepth)],
-			[Distance.SameRegion, new TokenBucket(clock, otherZoneRate, rateDepth)],
-			[Distance.OtherRegion, new TokenBucket(clock, otherRegionRate, rateDepth)],
+			[Distance.SameZone, new TokenBucket(clock, sameZoneMessagesPerSecond, rateDepth)],
+			[Distance.SameRegion, new TokenBucket(clock, otherZoneMessagesPerSecond, rateDepth)],
+			[Distance.OtherRegion, new TokenBucket(clock, otherRegionMessagesPerSecond, rateDepth)],
 		]);
 	}
 
-	/** The load has changed notably. */
+	/** Schedules a broadcast after a notable change of the load. */
 	scheduleBroadcast(): void {
 		if (this.isScheduled) {
 			return;
 		}
 
-		const {clock} = this.parts;
-		const delay = Math.max(0, this.lastPush + pushPeriod - clock.now());
+		const {clock} = this.deps;
+		const delay = Math.max(0, this.lastBroadcastAt + minBroadcastInterval - clock.now());
 		this.isScheduled = true;
 		clock.after(delay, () => {
 			this.isScheduled = false;
-			this.lastPush = clock.now();
-			this.push();
+			this.lastBroadcastAt = clock.now();
+			this.broadcast();
 		});
 	}
 
-	private push(): void {
-		const {gossip, hub} = this.parts;
-		const load = this.parts.report();
-		const isSlow = load.slowdown >= slowSpell;
-		const isNewSpell = isSlow && !this.wasSlow;
+	private broadcast(): void {
+		const {gossip, hub} = this.deps;
+		const load = this.deps.report();
+		const isSlow = load.slowdown >= slowPeriodThreshold;
+		const entersSlowPeriod = isSlow && !this.wasSlow;
 		this.wasSlow = isSlow;
-		hub.broadcastLoad(load, (peer, isWaiting) => {
-			// Who has calls here may have sent them into the spell, and can still send them elsewhere.
-			if (isNewSpell && isWaiting) {
+		hub.broadcastLoad(load, (peer, hasCallsHere) => {
+			// A peer with calls here learns of a new slow period regardless of the budget: it can still retry
+			// these calls elsewhere.
+			if (entersSlowPeriod && hasCallsHere) {
 				return true;
 			}
 
--- a/src/node/node-lifecycle.ts
+++ b/src/node/node-lifecycle.ts
@@ -2,19 +2,19 @@
 
 /** States of a node. */
 export enum NodeState {
-	/** Its ports are being opened. */
+	/** Opens its ports. */
 	Starting = 'starting',
-	/** It has no configuration or no membership yet and refuses calls. */
+	/** Has no configuration or no membership yet; refuses calls. */
 	Joining = 'joining',
-	/** It takes calls. */
+	/** Accepts calls. */
 	Ready = 'ready',
-	/** It finishes its work and takes no more. */
+	/** Finishes the calls in flight and accepts no new ones. */
 	Draining = 'draining',
-	/** Nothing is in flight and nothing will come. */
+	/** Nothing is in flight and the ports are closed. */
 	Stopped = 'stopped',
 }
 
-/** What happens to a node. */
+/** Events that change the state of a node. */
 export enum NodeEvent {
 	Listening = 'listening',
 	Synchronized = 'informed',
--- a/src/node/pause-watch.ts
+++ b/src/node/pause-watch.ts
@@ -1,39 +1,39 @@
 import type {Clock, Millis} from '../clock/index.js';
 
-const watchPeriod: Millis = 400;
-const normalLateness: Millis = 100;
+const heartbeatPeriod: Millis = 400;
+const maxTimerLateness: Millis = 100;
 
 /**
- * Tells for how long this process may have left its sockets unread. After a pause, what lies in them
- * is as old as the pause, while the time left that it carries is counted from its arrival. Each loop
- * turn in which somebody asks counts as a sign of life, so that a busy node knows it to a few ms and
- * an idle one is seldom woken up.
+ * Detects pauses of this process, during which messages age unread in the socket buffers. The remaining
+ * time in such a message is counted from when it is read, so its age has to be subtracted. Each event
+ * loop turn that calls `staleness` is recorded, so that a busy node knows the pause to a few ms, while
+ * an idle one needs only a rare timer.
  */
 export class PauseDetector {
-	private lastTurn: Millis;
-	private isTurnNoted = false;
+	private lastTurnAt: Millis;
+	private isTurnRecorded = false;
 
 	constructor(private readonly clock: Clock) {
-		this.lastTurn = clock.now();
-		clock.repeat(watchPeriod, () => {
-			this.lastTurn = clock.now();
+		this.lastTurnAt = clock.now();
+		clock.repeat(heartbeatPeriod, () => {
+			this.lastTurnAt = clock.now();
 		});
 	}
 
-	/** @returns how old a message that is read now may be, in ms. */
+	/** @returns the maximum age of a message that is read now, in ms. */
 	staleness(): Millis {
-		this.noteTurn();
-		const silence = this.clock.now() - this.lastTurn;
-		return silence > watchPeriod + normalLateness ? silence : 0;
+		this.recordTurn();
+		const silence = this.clock.now() - this.lastTurnAt;
+		return silence > heartbeatPeriod + maxTimerLateness ? silence : 0;
 	}
 
-	// All that lay in the sockets is read before the turn ends.
-	private noteTurn(): void {
-		if (!this.isTurnNoted) {
-			this.isTurnNoted = true;
+	// Recorded at the end of the turn: until then, everything read comes from before it.
+	private recordTurn(): void {
+		if (!this.isTurnRecorded) {
+			this.isTurnRecorded = true;
 			setImmediate(() => {
-				this.isTurnNoted = false;
-				this.lastTurn = this.clock.now();
+				this.isTurnRecorded = false;
+				this.lastTurnAt = this.clock.now();
 			});
 		}
 	}
