--- a/src/wiring/node-core.ts
+++ b/src/wiring/node-core.ts
@@ -27,38 +27,39 @@
 import {logEvents, Metrics, type Logger} from '../telemetry/index.js';
 import {pause} from '../util/index.js';
 
-/** What differs between the kinds of node. */
+/** Behavior that differs between the kinds of node. */
 export interface NodeCoreHooks {
 	readonly backendProtocol: BackendProtocol;
 	readonly announcementTimeout: Millis | undefined;
-	/** Whether an earlier process may have acknowledged what the backend server said. */
+	/** Whether an earlier process may have acknowledged announcements of the backend server. */
 	readonly isRestart: boolean;
-	/** A peer tells the load of its backend server. */
+	/** Called when a peer reports the load of its backend server. */
 	readonly peerLoad: LinkHubDelegate['peerLoadReported'];
 	readonly takeHandover: LinkHubDelegate['acceptHandover'];
-	/** Runs attempts that are sent to this node as the home of a key. */
+	/** Runs attempts that are sent to this node as the owner of an idempotency key. */
 	readonly keyOwnerRunner: AttemptRunner;
-	/** @returns what places calls. */
+	/** @returns the placement that chooses the executor of a call. */
 	createPlacement(core: NodeCore): Placement;
-	/** @returns what this node may save up of the budgets for further attempts. */
+	/** @returns the bursts that the retry and hedge budgets of this node allow. */
 	budgetBursts(): BudgetBursts;
-	/** Asks the own backend server how fast it works. */
+	/** Probes the speed of the local backend server. */
 	probeSpeed(): Promise<void>;
-	/** The load of the own backend server has changed so much that others should know. */
+	/** Called when the load of the local backend server has changed enough to be broadcast. */
 	handleLoadChanged(): void;
-	handleKnownRevisions(news: KnownRevisions, from: string): void;
+	handleKnownRevisions(known: KnownRevisions, from: string): void;
 	handleHeldRevision(held: HeldRevision): void;
 	handleRumor(rumor: Rumor): void;
 }
 
-const randomBound = 1024;
+/** Random part of an incarnation, so that two starts in the same millisecond rarely coincide. */
+const incarnationRandomBound = 1024;
 const maxSeed = 2 ** 31;
 const gossipCheckPeriod: Millis = 50;
 const drainPollPeriod: Millis = 50;
-/** How long a peer that leaves or is silent gets no call that another one can take. */
+/** How long a leaving or silent peer is avoided if another executor can run the call. */
 const peerAvoidTime: Millis = 2000;
 
-/** What every node is made of: membership, links, executor, and the runner of calls. */
+/** Components that every kind of node shares: membership, links, executor and call runner. */
 export class NodeCore {
 	readonly metrics = new Metrics();
 	readonly revisions = new RevisionTracker();
@@ -75,7 +76,7 @@
 	readonly runner: CallRunner;
 	private readonly socket: GossipSocket;
 	private readonly budgets: LinkBudgets;
-	private readonly pauses: PauseDetector;
+	private readonly pauseDetector: PauseDetector;
 	private undoGossipCheck: Undo | undefined;
 
 	constructor(
@@ -84,14 +85,15 @@
 		readonly logger: Logger,
 		private readonly hooks: NodeCoreHooks,
 	) {
-		const {metrics, revisions: keeper} = this;
+		const {metrics, revisions} = this;
 		this.random = createRandom(settings.randomSeed ?? randomInt(maxSeed));
 		this.id = formatEndpoint({address: settings.advertise, port: settings.linkPort});
-		const incarnation = clock.wallNow() * randomBound + randomInt(randomBound);
+		const incarnation =
+			clock.wallNow() * incarnationRandomBound + randomInt(incarnationRandomBound);
 		this.instance = `${this.id}#${incarnation}`;
-		this.pauses = new PauseDetector(clock);
-		this.budgets = new LinkBudgets({clock, metrics, revisions: keeper, gossip: () => this.gossip});
-		this.socket = this.createSocket();
+		this.pauseDetector = new PauseDetector(clock);
+		this.budgets = new LinkBudgets({clock, metrics, revisions, gossip: () => this.gossip});
+		this.socket = this.createGossipSocket();
 		this.gossip = new Gossip(createLocalMember(this.id, incarnation, settings), {
 			settings: defaultGossipSettings,
 			clock,
@@ -103,7 +105,7 @@
 		this.backend = new BackendMonitor({
 			clock,
 			logger,
-			revisions: keeper,
+			revisions,
 			executor: this.executor,
 			gossip: this.gossip,
 			announcementTimeout: hooks.announcementTimeout,
@@ -123,24 +125,24 @@
 		this.watchMembers();
 	}
 
-	/** Where the node is between start and stop. */
+	/** State of the node in its lifecycle. */
 	get state(): NodeState {
 		return this.lifecycle.getSnapshot().value;
 	}
 
-	/** Whether the node gives calls to executors. */
+	/** Whether the node accepts calls and routes them to executors. */
 	get isAcceptingCalls(): boolean {
 		return this.state === NodeState.Ready || this.state === NodeState.Draining;
 	}
 
-	/** Opens the ports to the peers. */
+	/** Opens the ports for links and gossip. */
 	async listen(): Promise<void> {
 		const {address, linkPort} = this.settings;
 		await this.hub.listen(linkPort);
 		await this.socket.bind(address, linkPort);
 	}
 
-	/** Starts the membership. */
+	/** Starts the gossip rounds. */
 	startGossip(): void {
 		this.lifecycle.send({type: NodeEvent.Listening});
 		this.logger.log(logEvents.nodeStarted, {id: this.id, instance: this.instance});
@@ -150,7 +152,7 @@
 		});
 	}
 
-	/** The node knows enough to take calls. */
+	/** Moves the node to the ready state, once it has a configuration and a membership. */
 	markReady(): void {
 		this.lifecycle.send({type: NodeEvent.Synchronized});
 		this.logger.log(logEvents.nodeReady, {revision: this.revisions.inForce?.revision});
@@ -158,9 +160,9 @@
 
 	/**
 	 * Waits until nothing is in flight.
-	 * @param countInFlight - counts what is in flight.
-	 * @param until - monotonic time in ms at which to give up.
-	 * @returns whether everything has ended.
+	 * @param countInFlight - returns the number of calls in flight.
+	 * @param until - monotonic time in ms at which waiting ends.
+	 * @returns whether nothing is in flight any more.
 	 */
 	async waitUntilIdle(countInFlight: () => number, until: Millis): Promise<boolean> {
 		while (this.clock.now() < until) {
@@ -180,7 +182,7 @@
 		this.socket.close();
 	}
 
-	// An idle node is not woken up for probes that were answered at once.
+	// The timer runs only while an answer is pending, so that an idle node is not woken up.
 	private checkGossipLater(): void {
 		if (!this.gossip.hasPendingChecks) {
 			this.undoGossipCheck?.();
@@ -195,7 +197,7 @@
 		});
 	}
 
-	private createSocket(): GossipSocket {
+	private createGossipSocket(): GossipSocket {
 		return new GossipSocket({
 			secret: this.settings.secret,
 			onMessage: (message) => {
@@ -219,8 +221,8 @@
 			},
 			mayProbe: (member) => this.budgets.mayProbe(member),
 			knownRevisions: () => this.revisions.known,
-			handleKnownRevisions: (news, from) => {
-				this.hooks.handleKnownRevisions(news, from);
+			handleKnownRevisions: (known, from) => {
+				this.hooks.handleKnownRevisions(known, from);
 			},
 			handleRumor: (rumor) => {
 				this.crashWatcher.handleRumor(rumor);
@@ -229,8 +231,8 @@
 			handleHeldRevision: (held) => {
 				this.hooks.handleHeldRevision(held);
 			},
-			handlePause: (span) => {
-				this.logger.log(logEvents.nodePaused, {pause: Math.round(span)});
+			handlePause: (duration) => {
+				this.logger.log(logEvents.nodePaused, {pause: Math.round(duration)});
 			},
 		};
 	}
@@ -277,7 +279,7 @@
 			metrics: this.metrics,
 			logger: this.logger,
 			delegate: {
-				staleness: () => this.pauses.staleness(),
+				staleness: () => this.pauseDetector.staleness(),
 				runnerFor: (target) =>
 					target === OpenTarget.Executor ? this.executor : this.hooks.keyOwnerRunner,
 				queryAndFence: (peer, sequence) => this.executor.queryAndFence({instance: peer, sequence}),
--- a/src/wiring/operator-routes.ts
+++ b/src/wiring/operator-routes.ts
@@ -4,18 +4,18 @@
 import {jsonReply, textReply, type OperatorServer} from '../operations/index.js';
 import type {NodeCore} from './node-core.js';
 
-/** A node as operators see it. */
+/** Part of a node that the operator routes use. */
 export interface OperatedNode {
 	readonly core: NodeCore;
 	readonly state: NodeState;
-	/** Whether the platform's store has answered of late; undefined without a store. */
+	/** Whether the platform store has answered recently; undefined without a store. */
 	readonly isStoreUp: boolean | undefined;
-	/** Idempotency keys that the node remembers; undefined where calls have none. */
+	/** Idempotency keys that the node stores; undefined if the node does not support keys. */
 	readonly keyedCalls: {readonly size: number} | undefined;
 }
 
 /**
- * Registers what operators and the backend server may ask of a node.
+ * Registers the routes for operators and for the backend server.
  * @param server - the server on the operators' port.
  * @param node - the node.
  */
@@ -26,7 +26,7 @@
 		return textReply(`${node.state}\n`, isReady ? 200 : 503);
 	});
 	server.registerHandler('GET /metrics', async () => {
-		countMembers(node);
+		updateMemberMetrics(node);
 		return textReply(await node.core.metrics.registry.metrics());
 	});
 	server.registerHandler('GET /v1/status', () => jsonReply(statusOf(node)));
@@ -71,7 +71,7 @@
 	};
 }
 
-function countMembers(node: OperatedNode): void {
+function updateMemberMetrics(node: OperatedNode): void {
 	const counts = new Map<Liveness, number>();
 	for (const member of node.core.gossip.directory.all()) {
 		counts.set(member.liveness, (counts.get(member.liveness) ?? 0) + 1);
--- a/src/wiring/routed-node.ts
+++ b/src/wiring/routed-node.ts
@@ -31,61 +31,62 @@
 import {NodeCore, type NodeCoreHooks} from './node-core.js';
 import {registerOperatorRoutes} from './operator-routes.js';
 
-/** What a routed node needs of the platform's store. */
+/** Platform store that a routed node uses. */
 export type RoutedStore = TableService & RowFeed & {close(): void};
 
-/** How a routed node speaks to what surrounds it. */
+/** Adapters of a routed node to its platform, callers and backend server. */
 export interface RoutedNodeAdapters {
 	readonly source: ConfigurationSource;
 	readonly backendProtocol: BackendProtocol;
-	/** Path of the question whether the node is ready, with its method. */
+	/** Method and path of the readiness check. */
 	readonly readinessRoute: string;
 	/**
-	 * @param metrics - counts what is asked.
-	 * @returns the client of the platform's store.
+	 * @param metrics - counts the store operations.
+	 * @returns the client of the platform store.
 	 */
 	createStore(metrics: Metrics): RoutedStore;
 	/**
-	 * @param isNestedCall - tells by its id whether a request is part of another one.
-	 * @returns the protocol towards callers.
+	 * @param isNestedCall - returns whether the request with this id is made on behalf of a running one.
+	 * @returns the protocol for callers.
 	 */
 	createCallerProtocol(isNestedCall: (requestId: string) => boolean): CallerProtocol;
-	/** Registers what the backend server may say of itself. */
+	/** Registers the routes for announcements of the backend server. */
 	registerAnnouncements(server: OperatorServer, node: RoutedNode): void;
 }
 
 const readyPollPeriod: Millis = 25;
-const farewellTime: Millis = 200;
-/** Two questions for readiness, a second apart, and the way of what was sent before the second. */
-const lingerTime: Millis = 2.6 * second;
-/** How long before its end a node that stops takes no more work from others; most calls are shorter. */
-const handBackTime: Millis = 0.8 * second;
-/** Kept back from the time to stop, for the farewell. */
+/** Time for the last gossip messages to be sent before the sockets close. */
+const leaveNoticeTime: Millis = 200;
+/** Covers two readiness checks, a second apart, and the transfer time of calls sent before the second. */
+const readinessLingerTime: Millis = 2.6 * second;
+/** Final part of the linger time in which a stopping node accepts no calls from peers; most calls are shorter. */
+const executorDrainTime: Millis = 0.8 * second;
+/** Part of the stop timeout that is reserved for announcing that the node has left. */
 const stopReserve: Millis = 0.7 * second;
-/** A node that has its configuration waits so long for peers before it takes calls alone. */
-const peerWait: Millis = second;
-/** Announcements that may be missed before a backend server counts as gone. */
-const missedAnnouncements = 6;
-/** Speed readings a second that are wanted; answers bring most of them for nothing. */
+/** How long a node with a configuration waits for peers before it accepts calls without any. */
+const peerWaitTimeout: Millis = second;
+/** Number of missed announcements after which a backend server counts as gone. */
+const maxMissedAnnouncements = 6;
+/** Schedule of the speed probes; answers carry most of the speed readings without a probe. */
 const speedProbes: ProbeRate = {
 	period: 100,
 	maxSpeedAge: 200,
 	idleTimeout: second,
 	defaultBudget: 150,
 };
-/** Up to so many members of the zone, or of all, a node keeps a link to each, so that load news reach it. */
+/** Maximum number of members of the zone, or of the deployment, up to which all are linked for load updates. */
 const fullMeshMembers = 32;
-/** How long after a member was found a link to it is opened that no call has opened, and the spread. */
+/** Delay, and its random spread, before a link to a new member is opened without a call. */
 const linkDelay: Millis = 2 * second;
 const linkSpread: Millis = 4 * second;
-/** Connections stay open longer than callers may use them idle. */
+/** Idle connections are closed this much later than callers stop reusing them. */
 const idleMargin: Millis = second;
-/** Part of the budget for further attempts that goes to second attempts beside slow ones. */
-const hedgePart = 0.4;
-/** Part of the shared budget that is handed out, as nodes don't know what the others spend. */
-const budgetPart = 0.8;
+/** Share of the budget for further attempts that is reserved for hedges. */
+const hedgeBudgetShare = 0.4;
+/** Share of the common budget that is handed out, as nodes don't know how much the others spend. */
+const usableBudgetShare = 0.8;
 
-/** A node whose callers are routed by host and path, and whose configuration lies in the store. */
+/** A node that routes calls by host and path and reads its configuration from the store. */
 export class RoutedNode {
 	readonly core: NodeCore;
 	readonly keyedCalls = undefined;
@@ -94,27 +95,32 @@
 	private readonly feed: ConfigurationFeed;
 	private readonly roster: Roster;
 	private readonly ingress: Ingress;
-	private readonly operators = new OperatorServer();
-	private readonly readiness = new OperatorServer();
-	private readonly announcements = new OperatorServer();
+	private readonly operatorServer = new OperatorServer();
+	private readonly readinessServer = new OperatorServer();
+	private readonly announcementServer = new OperatorServer();
 	private readonly probe: BackendProbe;
-	private readonly news: LoadBroadcaster;
-	private readonly linking = new Set<string>();
-	private informedAt: Millis | undefined;
+	private readonly loadBroadcaster: LoadBroadcaster;
+	private readonly pendingLinks = new Set<string>();
+	private configuredAt: Millis | undefined;
 	private lowestPriority = 0;
 
 	constructor(
 		private readonly settings: NodeSettings,
 		private readonly clock: Clock,
 		private readonly logger: Logger,
-		private readonly surroundings: RoutedNodeAdapters,
+		private readonly adapters: RoutedNodeAdapters,
 	) {
 		this.core = new NodeCore(settings, clock, logger, this.createHooks());
-		const {gossip, hub, revisions: keeper, metrics, random, executor, backend, runner} = this.core;
-		const {source, backendProtocol} = surroundings;
-		this.store = surroundings.createStore(metrics);
+		const {gossip, hub, revisions, metrics, random, executor, backend, runner} = this.core;
+		const {source, backendProtocol} = adapters;
+		this.store = adapters.createStore(metrics);
 		const {store} = this;
-		this.news = new LoadBroadcaster({clock, gossip, hub, report: () => executor.report()});
+		this.loadBroadcaster = new LoadBroadcaster({
+			clock,
+			gossip,
+			hub,
+			report: () => executor.report(),
+		});
 		const {
 			isFirstStart,
 			backend: {service},
@@ -124,7 +130,7 @@
 			clock,
 			random,
 			logger,
-			revisions: keeper,
+			revisions: revisions,
 			gossip,
 			hub,
 			store,
@@ -134,7 +140,7 @@
 		this.probe = new BackendProbe({
 			clock,
 			metrics,
-			revisions: keeper,
+			revisions,
 			backend,
 			executor,
 			protocol: backendProtocol,
@@ -144,57 +150,57 @@
 			clock,
 			metrics,
 			logger,
-			protocol: surroundings.createCallerProtocol((id) => executor.isRunningParentOf(id)),
+			protocol: adapters.createCallerProtocol((id) => executor.isRunningParentOf(id)),
 			keyedCalls: undefined,
-			configuration: () => (this.core.isAcceptingCalls ? keeper.inForce : undefined),
+			configuration: () => (this.core.isAcceptingCalls ? revisions.inForce : undefined),
 			runCall: async (call) => runner.run(call),
 		});
-		keeper.registerListener((index) => {
+		revisions.registerListener((index) => {
 			this.applyConfiguration(index);
 		});
 		gossip.registerListener((member) => {
-			this.linkLater(member);
+			this.scheduleLink(member);
 		});
-		registerOperatorRoutes(this.operators, this);
+		registerOperatorRoutes(this.operatorServer, this);
 		this.registerReadiness();
-		surroundings.registerAnnouncements(this.announcements, this);
+		adapters.registerAnnouncements(this.announcementServer, this);
 	}
 
-	/** Where the node is between start and stop. */
+	/** State of the node in its lifecycle. */
 	get state(): NodeState {
 		return this.core.state;
 	}
 
-	/** Whether the platform's store has answered of late. */
+	/** Whether the platform store has answered recently. */
 	get isStoreUp(): boolean {
 		return this.feed.isStoreUp;
 	}
 
-	/** Opens the ports and joins the others. */
+	/** Opens the ports and joins the other nodes. */
 	async start(): Promise<void> {
 		const {address, operatorPort, callerPort, readinessPort, announcementPort} = this.settings;
 		this.feed.start();
 		await this.core.listen();
 		await this.ingress.listen(address, callerPort);
 		if (readinessPort !== undefined) {
-			await this.readiness.listen(address, readinessPort);
+			await this.readinessServer.listen(address, readinessPort);
 		}
 
 		if (announcementPort !== undefined) {
-			await this.announcements.listen(address, announcementPort);
+			await this.announcementServer.listen(address, announcementPort);
 		}
 
 		this.core.startGossip();
 		this.roster.start();
-		await this.operators.listen(address, operatorPort);
+		await this.operatorServer.listen(address, operatorPort);
 		this.probe.start();
 		this.findBackend();
 		this.checkReady();
 	}
 
 	/**
-	 * Stops gracefully: no request in flight is cut.
-	 * @returns whether everything in flight has ended in time.
+	 * Stops gracefully: requests in flight finish within the stop timeout.
+	 * @returns whether all requests in flight ended in time.
 	 */
 	async stop(): Promise<boolean> {
 		if (this.state === NodeState.Draining || this.state === NodeState.Stopped) {
@@ -210,13 +216,13 @@
 			running: executor.callCount,
 		});
 		this.ingress.drain();
-		await pause(clock, lingerTime - handBackTime);
+		await pause(clock, readinessLingerTime - executorDrainTime);
 		backend.drainNode();
 		gossip.updateLocalMember({phase: MemberPhase.Draining});
 		hub.broadcastLeaving();
 		gossip.flush();
-		await pause(clock, handBackTime);
-		// The backend server's own calls come in here as long as it works.
+		await pause(clock, executorDrainTime);
+		// While the backend server runs calls, it may make calls of its own through this ingress.
 		await this.core.waitUntilIdle(() => executor.callCount, until);
 		this.ingress.close();
 		const isClean = await this.core.waitUntilIdle(
@@ -225,7 +231,7 @@
 		);
 		gossip.updateLocalMember({phase: MemberPhase.Left});
 		gossip.flush();
-		await pause(clock, farewellTime);
+		await pause(clock, leaveNoticeTime);
 		this.closeAll();
 		lifecycle.send({type: NodeEvent.Finished});
 		this.logger.log(isClean ? logEvents.nodeStopped : logEvents.nodeStopForced);
@@ -235,29 +241,29 @@
 	private findBackend(): void {
 		const {clock, logger} = this;
 		const {endpoint, service} = this.settings.backend;
-		const {revisions: revisions, backend} = this.core;
+		const {revisions, backend} = this.core;
 		if (endpoint) {
-			const {backendProtocol: protocol} = this.surroundings;
-			const parts = {clock, logger, revisions: revisions, backend, protocol, endpoint, service};
-			new BackendFinder(parts).start();
+			const {backendProtocol: protocol} = this.adapters;
+			const deps = {clock, logger, revisions, backend, protocol, endpoint, service};
+			new BackendFinder(deps).start();
 		}
 	}
 
 	private createHooks(): NodeCoreHooks {
 		const {settings} = this;
 		return {
-			backendProtocol: this.surroundings.backendProtocol,
-			announcementTimeout: settings.backend.announcePeriod * missedAnnouncements,
+			backendProtocol: this.adapters.backendProtocol,
+			announcementTimeout: settings.backend.announcePeriod * maxMissedAnnouncements,
 			isRestart: !settings.isFirstStart,
 			createPlacement: (core) => this.createPlacement(core),
 			budgetBursts: () => this.budgetBursts(),
 			probeSpeed: async () => this.probe.probeNow(),
 			handleLoadChanged: () => {
-				this.news.scheduleBroadcast();
-				this.noteOwnLoad();
+				this.loadBroadcaster.scheduleBroadcast();
+				this.recordLocalLoad();
 			},
-			handleKnownRevisions: (news, from) => {
-				this.feed.handleKnownRevisions(news, from);
+			handleKnownRevisions: (known, from) => {
+				this.feed.handleKnownRevisions(known, from);
 			},
 			handleHeldRevision: () => undefined,
 			handleRumor: () => undefined,
@@ -270,7 +276,7 @@
 		};
 	}
 
-	private noteOwnLoad(): void {
+	private recordLocalLoad(): void {
 		const {id, executor, runner} = this.core;
 		this.placement?.recordLoad(id, executor.report());
 		runner.reconsiderHedges(id);
@@ -289,11 +295,14 @@
 		return this.placement;
 	}
 
-	// Each node hands out its part of the slack that all nodes together have in a window.
+	// Each node uses an equal share of the slack that all nodes have in common in a window.
 	private budgetBursts(): BudgetBursts {
 		const nodes = Math.max(1, this.core.gossip.directory.countPresent());
-		const part = (this.settings.budgets.slack * budgetPart) / nodes;
-		return {retries: Math.max(1, part * (1 - hedgePart)), hedges: Math.max(1, part * hedgePart)};
+		const share = (this.settings.budgets.slack * usableBudgetShare) / nodes;
+		return {
+			retries: Math.max(1, share * (1 - hedgeBudgetShare)),
+			hedges: Math.max(1, share * hedgeBudgetShare),
+		};
 	}
 
 	private applyConfiguration(index: DeclarationIndex): void {
@@ -304,39 +313,39 @@
 		}
 	}
 
-	// Links for load news are opened ahead of the calls, but not all at once: after a restart of many
-	// nodes the calls that wait need the processor more.
-	private linkLater(member: Member): void {
+	// Links for load updates are opened ahead of calls, but not all at once: after a restart of many
+	// nodes, waiting calls need the CPU more.
+	private scheduleLink(member: Member): void {
 		const {id} = member;
-		if (this.core.id >= id || !isRoutable(member) || this.linking.has(id)) {
+		if (this.core.id >= id || !isRoutable(member) || this.pendingLinks.has(id)) {
 			return;
 		}
 
-		this.linking.add(id);
+		this.pendingLinks.add(id);
 		this.clock.after(linkDelay + linkSpread * this.core.random.next(), () => {
-			this.linking.delete(id);
-			this.linkTo(id);
+			this.pendingLinks.delete(id);
+			this.openLink(id);
 		});
 	}
 
-	// One of two nodes opens the link: the other one would only open a second.
-	private linkTo(id: string): void {
+	// Called on one node of each pair only, as a link opened by the other one would be a duplicate.
+	private openLink(id: string): void {
 		const {gossip, hub} = this.core;
 		const member = gossip.directory.get(id);
 		if (!member || !isRoutable(member)) {
 			return;
 		}
 
-		const isNear = distanceBetween(gossip.localMember, member) === Distance.SameZone;
+		const isSameZone = distanceBetween(gossip.localMember, member) === Distance.SameZone;
 		const {directory} = gossip;
-		const size = isNear ? directory.countInZone(member) : directory.size;
+		const size = isSameZone ? directory.countInZone(member) : directory.size;
 		if (size <= fullMeshMembers) {
 			void hub.connect(id);
 		}
 	}
 
 	private registerReadiness(): void {
-		this.readiness.registerHandler(this.surroundings.readinessRoute, () => {
+		this.readinessServer.registerHandler(this.adapters.readinessRoute, () => {
 			const isReady = this.state === NodeState.Ready;
 			return textReply(`${this.state}\n`, isReady ? 200 : 503);
 		});
@@ -347,7 +356,7 @@
 			return;
 		}
 
-		if (this.isInformed()) {
+		if (this.isSynchronized()) {
 			this.core.markReady();
 			return;
 		}
@@ -357,25 +366,25 @@
 		});
 	}
 
-	private isInformed(): boolean {
-		const {revisions: keeper, gossip} = this.core;
-		if (keeper.inForce === undefined) {
+	private isSynchronized(): boolean {
+		const {revisions, gossip} = this.core;
+		if (revisions.inForce === undefined) {
 			return false;
 		}
 
 		const now = this.clock.now();
-		this.informedAt ??= now;
+		this.configuredAt ??= now;
 		const others = [...gossip.directory.all()].filter((member) => isPresent(member)).length - 1;
-		return others > 0 || now - this.informedAt >= peerWait;
+		return others > 0 || now - this.configuredAt >= peerWaitTimeout;
 	}
 
 	private closeAll(): void {
 		this.feed.stop();
 		this.roster.stop();
 		this.core.close();
-		this.operators.close();
-		this.readiness.close();
-		this.announcements.close();
+		this.operatorServer.close();
+		this.readinessServer.close();
+		this.announcementServer.close();
 		this.store.close();
 	}
 }
--- a/src/wiring/system-clock.ts
+++ b/src/wiring/system-clock.ts
@@ -1,14 +1,14 @@
 import {performance} from 'node:perf_hooks';
 import type {Clock, Millis, Undo} from '../clock/index.js';
 
-type Repeat = {readonly period: Millis; readonly run: () => void; due: Millis};
+type RepeatedTimer = {readonly period: Millis; readonly run: () => void; due: Millis};
 
-/** Part of its period by which a repeated run may come early, so that runs fall together. */
-const earlyShare = 0.2;
+/** Share of its period by which a repeated run may be early, so that runs coincide. */
+const maxEarlyShare = 0.2;
 
-/** The clock of the operating system. Repeated runs share one timer, as each wake-up has its cost. */
+/** System clock. Repeated runs share one timer, as each wake-up of the process has a cost. */
 export class SystemClock implements Clock {
-	private readonly repeats = new Set<Repeat>();
+	private readonly repeats = new Set<RepeatedTimer>();
 	private timer: ReturnType<typeof setTimeout> | undefined;
 
 	now(): Millis {
@@ -27,7 +27,7 @@
 	}
 
 	repeat(period: Millis, run: () => void): Undo {
-		const repeat: Repeat = {period, run, due: this.now() + period};
+		const repeat: RepeatedTimer = {period, run, due: this.now() + period};
 		this.repeats.add(repeat);
 		this.schedule();
 		return () => {
@@ -53,11 +53,11 @@
 		}
 	}
 
-	// What runs together once stays together, as the next run is counted from this one.
+	// Runs that coincide once stay aligned, as the next run is scheduled from the time of this one.
 	private runDue(): void {
 		const now = this.now();
 		for (const repeat of this.repeats) {
-			if (repeat.due - repeat.period * earlyShare <= now) {
+			if (repeat.due - repeat.period * maxEarlyShare <= now) {
 				repeat.due = now + repeat.period;
 				repeat.run();
 			}
--- a/src/wiring/turmeric-node.ts
+++ b/src/wiring/turmeric-node.ts
@@ -25,63 +25,64 @@
 const joinPeriod: Millis = 500;
 const rejoinPeriod: Millis = 30 * second;
 const readyPollPeriod: Millis = 50;
-const farewellTime: Millis = 300;
-/** How long a node that leaves still takes calls, as callers and peers learn of it. */
+/** Time for the last gossip messages to be sent before the sockets close. */
+const leaveNoticeTime: Millis = 300;
+/** How long a stopping node still accepts calls while callers and peers learn that it leaves. */
 const lingerTime: Millis = second;
-/** Further attempts that one node can save up for each service. */
+/** Bursts of further attempts that one node can save up per service. */
 const budgetBursts = {retries: 10, hedges: 10};
 
-/** What a node needs of the platform's store. */
+/** Platform store that a node uses. */
 export type NodeStore = TableService & ObjectStore & {close(): void};
 
-/** One node: wires the parts together and carries it from start to stop. */
+/** A node with idempotency keys: connects its components, starts and stops them. */
 export class TurmericNode {
 	readonly core: NodeCore;
 	readonly keyedCalls: KeyedCalls;
 	readonly keyOwner: KeyOwner;
 	private readonly store: GuardedStore | undefined;
 	private readonly storeClient: NodeStore | undefined;
-	private readonly revisions: RevisionAgent;
+	private readonly revisionAgent: RevisionAgent;
 	private readonly ingress: Ingress;
-	private readonly operators = new OperatorServer();
+	private readonly operatorServer = new OperatorServer();
 	private readonly probe: BackendProbe;
-	private readonly homes: KeyOwners;
+	private readonly keyOwners: KeyOwners;
 
 	constructor(
 		private readonly settings: NodeSettings,
 		private readonly clock: Clock,
 		private readonly logger: Logger,
-		/** Creates the client of the platform's store; gives none for a node without a store. */
+		/** Creates the client of the platform store; returns undefined for a node without a store. */
 		createStore: (metrics: Metrics) => NodeStore | undefined,
 	) {
 		this.core = new NodeCore(settings, clock, logger, this.createHooks());
-		const {id, instance, gossip, hub, revisions: keeper, metrics, runner} = this.core;
+		const {id, instance, gossip, hub, revisions, metrics, runner} = this.core;
 		this.keyOwner = {id, instance};
 		this.probe = new BackendProbe({
 			clock,
 			metrics,
-			revisions: keeper,
+			revisions,
 			backend: this.core.backend,
 			executor: this.core.executor,
 			protocol: new TurmericBackendProtocol(),
 			rate: crossCheckRate,
 		});
 		this.storeClient = createStore(metrics);
-		this.store = this.createGuard();
-		this.revisions = new RevisionAgent({
+		this.store = this.createGuardedStore();
+		this.revisionAgent = new RevisionAgent({
 			clock,
 			random: this.core.random,
 			logger,
-			revisions: keeper,
+			revisions: revisions,
 			gossip,
 			hub,
 			store: this.store && new DeclarationStore(this.store),
 		});
-		this.homes = new KeyOwners({
+		this.keyOwners = new KeyOwners({
 			self: this.keyOwner,
 			gossip,
 			hub,
-			revisions: keeper,
+			revisions: revisions,
 			store: this.store,
 		});
 		this.keyedCalls = this.createKeyedCalls();
@@ -91,42 +92,42 @@
 			logger,
 			protocol: new TurmericCallerProtocol(instance),
 			keyedCalls: this.keyedCalls,
-			configuration: () => (this.core.isAcceptingCalls ? keeper.inForce : undefined),
+			configuration: () => (this.core.isAcceptingCalls ? revisions.inForce : undefined),
 			runCall: async (call) => runner.run(call),
 		});
 		gossip.registerListener((member) => {
-			this.revisions.handleMemberChange(member);
+			this.revisionAgent.handleMemberChange(member);
 		});
-		registerOperatorRoutes(this.operators, this);
+		registerOperatorRoutes(this.operatorServer, this);
 	}
 
-	/** Where the node is between start and stop. */
+	/** State of the node in its lifecycle. */
 	get state(): NodeState {
 		return this.core.state;
 	}
 
-	/** Whether the platform's store has answered of late; undefined without a store. */
+	/** Whether the platform store has answered recently; undefined without a store. */
 	get isStoreUp(): boolean | undefined {
 		return this.store?.isUp;
 	}
 
-	/** Opens the ports and joins the others. */
+	/** Opens the ports and joins the other nodes. */
 	async start(): Promise<void> {
 		const {address, operatorPort, callerPort} = this.settings;
 		await this.core.listen();
-		await this.operators.listen(address, operatorPort);
+		await this.operatorServer.listen(address, operatorPort);
 		await this.ingress.listen(address, callerPort);
 		this.core.startGossip();
 		this.startJoining();
-		this.revisions.start();
+		this.revisionAgent.start();
 		this.probe.start();
 		this.startSweeping();
 		this.checkReady();
 	}
 
 	/**
-	 * Stops gracefully: no request in flight is cut.
-	 * @returns whether everything in flight has ended in time.
+	 * Stops gracefully: requests in flight finish within the stop timeout.
+	 * @returns whether all requests in flight ended in time.
 	 */
 	async stop(): Promise<boolean> {
 		if (this.state === NodeState.Draining || this.state === NodeState.Stopped) {
@@ -148,12 +149,12 @@
 			this.clock.now() + this.settings.stopTimeout,
 		);
 		if (this.keyedCalls.size > 0) {
-			await this.homes.handOver(this.keyedCalls.exportRecords());
+			await this.keyOwners.handOver(this.keyedCalls.exportRecords());
 		}
 
 		gossip.updateLocalMember({phase: MemberPhase.Left});
 		gossip.flush();
-		await pause(this.clock, farewellTime);
+		await pause(this.clock, leaveNoticeTime);
 		this.closeAll();
 		lifecycle.send({type: NodeEvent.Finished});
 		this.logger.log(isClean ? logEvents.nodeStopped : logEvents.nodeStopForced);
@@ -165,48 +166,49 @@
 			backendProtocol: new TurmericBackendProtocol(),
 			announcementTimeout: undefined,
 			isRestart: false,
-			createPlacement({clock, random, gossip, revisions: keeper}) {
+			createPlacement({clock, random, gossip, revisions}) {
 				const routing = new ExpectedWaitPolicy({clock, random, self: () => gossip.localMember});
-				return new NearestFirstPlacement({clock, gossip, routing, revisions: keeper});
+				return new NearestFirstPlacement({clock, gossip, routing, revisions: revisions});
 			},
 			budgetBursts: () => budgetBursts,
-			// The product's own backend servers don't tell their speed.
+			// Backend servers of the native protocol don't report their speed.
 			probeSpeed: async () => undefined,
 			handleLoadChanged: () => undefined,
-			handleKnownRevisions: (news, from) => {
-				this.revisions.handleKnownRevisions(news, from);
+			handleKnownRevisions: (known, from) => {
+				this.revisionAgent.handleKnownRevisions(known, from);
 			},
 			handleHeldRevision: (held) => {
-				this.revisions.handleHeldReport(held);
+				this.revisionAgent.handleHeldReport(held);
 			},
 			handleRumor: (rumor) => {
-				this.homes.handleRumor(rumor);
+				this.keyOwners.handleRumor(rumor);
 			},
 			peerLoad: () => undefined,
 			takeHandover: (_from, records) => {
 				this.keyedCalls.importRecords(records);
 			},
 			keyOwnerRunner: {
-				run: async (attempt) => this.keyedCalls.runAttempt(attempt, this.homes.createCall(attempt)),
+				run: async (attempt) =>
+					this.keyedCalls.runAttempt(attempt, this.keyOwners.createCall(attempt)),
 			},
 		};
 	}
 
-	private createGuard(): GuardedStore | undefined {
+	private createGuardedStore(): GuardedStore | undefined {
 		const {clock, random, logger} = this.core;
 		const {storeClient: store} = this;
 		return store && new GuardedStore({store, clock, random, logger});
 	}
 
 	private createKeyedCalls(): KeyedCalls {
-		const {clock, keyOwner: home, store} = this;
+		const {clock, keyOwner, store} = this;
 		return new KeyedCalls({
 			clock,
-			self: home,
-			claims: store && new ClaimWriter({clock, store, self: home}),
+			self: keyOwner,
+			claims: store && new ClaimWriter({clock, store, self: keyOwner}),
 			runCall: async (call) => this.core.runner.run(call),
-			sendToOwner: async (to, call) => this.homes.send(to, call),
-			findSuccessor: async (from) => this.homes.findSuccessor(from),
+			sendToOwner: async (to, call) => this.keyOwners.send(to, call),
+			findSuccessor: async (from) => this.keyOwners.findSuccessor(from),
 		});
 	}
 
@@ -218,7 +220,7 @@
 
 		const sweeper = new ClaimSweeper(this.clock, store);
 		this.clock.repeat(sweepPeriod, () => {
-			if (this.revisions.isReader) {
+			if (this.revisionAgent.isReader) {
 				void sweeper.sweep();
 			}
 		});
@@ -239,7 +241,7 @@
 	private async joinSeeds(): Promise<void> {
 		const {gossip} = this.core;
 		const seeds = this.settings.seeds.map((seed) => formatEndpoint(seed));
-		for (const seed of [...seeds, ...(await this.storedSeeds())]) {
+		for (const seed of [...seeds, ...(await this.readStoredSeeds())]) {
 			const member = gossip.directory.get(seed);
 			if (seed !== this.keyOwner.id && !(member && isPresent(member))) {
 				gossip.join(seed);
@@ -247,7 +249,7 @@
 		}
 	}
 
-	private async storedSeeds(): Promise<string[]> {
+	private async readStoredSeeds(): Promise<string[]> {
 		if (!this.store?.isUp) {
 			return [];
 		}
@@ -265,7 +267,7 @@
 			return;
 		}
 
-		if (this.revisions.isCaughtUp) {
+		if (this.revisionAgent.isCaughtUp) {
 			this.core.markReady();
 			return;
 		}
@@ -276,9 +278,9 @@
 	}
 
 	private closeAll(): void {
-		this.revisions.stop();
+		this.revisionAgent.stop();
 		this.core.close();
-		this.operators.close();
+		this.operatorServer.close();
 		this.storeClient?.close();
 	}
 }
