--- a/src/telemetry/__tests__/unit/line-writer.test.ts
+++ b/src/telemetry/__tests__/unit/line-writer.test.ts
@@ -1,8 +1,8 @@
 import {describe, expect, it, vi} from 'vitest';
 import {LineWriter, type Sink} from '../../line-writer.js';
 
-/** A reader that takes nothing until it is told to. */
-class StuckSink implements Sink {
+/** Sink of a reader that hangs until `release` is called. */
+class HangingSink implements Sink {
 	readonly written: string[] = [];
 	private readonly waiting: Array<() => void> = [];
 
@@ -25,9 +25,9 @@
 }
 
 describe('LineWriter', () => {
-	it('neither blocks nor grows while its reader is stuck, and counts what it drops', () => {
+	it('neither blocks nor exceeds its memory limit while the reader hangs, and counts dropped lines', () => {
 		vi.useFakeTimers();
-		const sink = new StuckSink();
+		const sink = new HangingSink();
 		const writer = new LineWriter(sink, () => 0, {pendingBytes: 30, linesPerSecond: 1000});
 		for (let i = 0; i < 10; i++) {
 			writer.write('0123456789');
@@ -45,9 +45,9 @@
 		vi.useRealTimers();
 	});
 
-	it('bounds the lines a second', () => {
+	it('limits the lines per second', () => {
 		let now = 0;
-		const writer = new LineWriter(new StuckSink(), () => now, {
+		const writer = new LineWriter(new HangingSink(), () => now, {
 			pendingBytes: 1_000_000,
 			linesPerSecond: 5,
 		});
@@ -64,8 +64,8 @@
 		expect(writer.takeDroppedCount()).toBe(15);
 	});
 
-	it('writes what waits when the process ends', () => {
-		const sink = new StuckSink();
+	it('writes pending lines when the process exits', () => {
+		const sink = new HangingSink();
 		const writer = new LineWriter(sink, () => 0);
 		writer.write('last words');
 		writer.flushSync();
--- a/src/telemetry/line-writer.ts
+++ b/src/telemetry/line-writer.ts
@@ -3,41 +3,42 @@
 import {Writable} from 'node:stream';
 import {concatBytes} from '../util/index.js';
 
-/** Takes bytes somewhere. */
+/** Destination of log output. */
 export interface Sink {
 	/**
-	 * @param bytes - what to write.
-	 * @param done - called when it is written or could not be.
+	 * @param bytes - bytes to write.
+	 * @param done - called when the write has finished or failed.
 	 */
 	write(bytes: Uint8Array, done: (err: Error | undefined) => void): void;
 	/**
-	 * Writes at once, as the process ends.
-	 * @param bytes - what to write.
+	 * Writes synchronously, for use at process exit.
+	 * @param bytes - bytes to write.
 	 */
 	writeSync(bytes: Uint8Array): void;
 }
 
-/** Bounds of what a writer takes. */
+/** Limits of a {@link LineWriter}. */
 export interface LineLimits {
-	/** Bytes that may wait to be written. */
+	/** Maximum number of bytes that wait to be written. */
 	readonly pendingBytes: number;
-	/** Lines a second on the mean. */
+	/** Average number of lines per second; a burst may use up to one second of it. */
 	readonly linesPerSecond: number;
 }
 
-/** About four times the lines of a busy node; a reader that hangs costs no more memory than this. */
+/** About four times the line rate of a busy node; also bounds the memory used while the reader hangs. */
 export const defaultLineLimits: LineLimits = {pendingBytes: 1_048_576, linesPerSecond: 600};
 
 const millisPerSecond = 1000;
-/** Lines are collected for so long, as each write costs several calls of the system, in ms. */
-const collectTime = 250;
-const retryTime = 10;
-/** A pipe takes so many bytes without parting them. Source: POSIX, PIPE_BUF. */
-const pipeBytes = 4096;
+/** Time for which lines are batched, as each write costs several system calls. */
+const batchTimeMs = 250;
+/** Delay before a write that failed with `EAGAIN` is repeated. */
+const retryDelayMs = 10;
+/** Maximum number of bytes that a pipe writes atomically. Source: POSIX, PIPE_BUF. */
+const maxAtomicPipeBytes = 4096;
 
 /**
- * Writes log lines without ever blocking the loop or growing without bound: what a slow reader does
- * not take, and what comes too fast, is dropped and counted.
+ * Writes log lines without blocking the event loop and with bounded memory: lines that a slow reader
+ * does not read in time or that exceed the rate are dropped and counted.
  */
 export class LineWriter extends Writable {
 	private pending: Uint8Array[] = [];
@@ -58,14 +59,14 @@
 		this.refilledAt = now();
 	}
 
-	/** @returns lines dropped since the last call. */
+	/** @returns the number of lines dropped since the last call. */
 	takeDroppedCount(): number {
 		const dropped = this.droppedLines;
 		this.droppedLines = 0;
 		return dropped;
 	}
 
-	/** Writes what waits at once, as the process ends. */
+	/** Writes pending lines synchronously, for use at process exit. */
 	flushSync(): void {
 		if (this.pending.length > 0) {
 			this.sink.writeSync(concatBytes(this.pending));
@@ -74,10 +75,10 @@
 	}
 
 	override _write(chunk: Uint8Array, _encoding: string, done: () => void): void {
-		if (this.mayTake(chunk.length)) {
+		if (this.tryReserve(chunk.length)) {
 			this.pending.push(chunk);
 			this.pendingBytes += chunk.length;
-			this.flushLater();
+			this.scheduleFlush();
 		} else {
 			this.droppedLines += 1;
 		}
@@ -85,11 +86,11 @@
 		done();
 	}
 
-	private mayTake(bytes: number): boolean {
+	private tryReserve(bytes: number): boolean {
 		const now = this.now();
 		const {linesPerSecond, pendingBytes} = this.limits;
-		const earned = ((now - this.refilledAt) / millisPerSecond) * linesPerSecond;
-		this.tokens = Math.min(linesPerSecond, this.tokens + earned);
+		const refill = ((now - this.refilledAt) / millisPerSecond) * linesPerSecond;
+		this.tokens = Math.min(linesPerSecond, this.tokens + refill);
 		this.refilledAt = now;
 		if (this.tokens < 1 || this.pendingBytes + bytes > pendingBytes) {
 			return false;
@@ -99,24 +100,27 @@
 		return true;
 	}
 
-	private flushLater(): void {
+	private scheduleFlush(): void {
 		if (!this.isScheduled) {
 			this.isScheduled = true;
 			setTimeout(() => {
 				this.isScheduled = false;
 				this.flush();
-			}, collectTime).unref();
+			}, batchTimeMs).unref();
 		}
 	}
 
-	// At least one line, and no more than a pipe takes as a whole.
-	private takeLines(): Uint8Array[] {
+	// At least one line, and otherwise no more than a pipe writes atomically.
+	private takeBatch(): Uint8Array[] {
 		let count = 0;
 		let size = 0;
 		do {
 			size += this.pending[count]!.length;
 			count += 1;
-		} while (count < this.pending.length && size + this.pending[count]!.length <= pipeBytes);
+		} while (
+			count < this.pending.length &&
+			size + this.pending[count]!.length <= maxAtomicPipeBytes
+		);
 
 		return this.pending.splice(0, count);
 	}
@@ -126,7 +130,7 @@
 			return;
 		}
 
-		const bytes = concatBytes(this.takeLines());
+		const bytes = concatBytes(this.takeBatch());
 		this.isWriting = true;
 		this.sink.write(bytes, (err) => {
 			this.isWriting = false;
@@ -140,7 +144,7 @@
 	}
 }
 
-/** Writes to an open file off the loop. */
+/** Writes to an open file on the thread pool. */
 export class FileSink implements Sink {
 	constructor(private readonly descriptor: number) {}
 
@@ -149,7 +153,7 @@
 			if (err?.code === 'EAGAIN') {
 				setTimeout(() => {
 					this.write(bytes, done);
-				}, retryTime);
+				}, retryDelayMs);
 			} else if (Boolean(err) || written === bytes.length) {
 				done(err ?? undefined);
 			} else {
@@ -159,11 +163,11 @@
 	}
 
 	writeSync(bytes: Uint8Array): void {
-		writeAtEnd(this.descriptor, bytes);
+		writeSyncIgnoringErrors(this.descriptor, bytes);
 	}
 }
 
-/** Writes to a pipe or socket on the loop, which wakes up no other thread. */
+/** Writes to a pipe or socket on the event loop, without waking another thread. */
 export class PipeSink implements Sink {
 	private readonly socket: Socket;
 
@@ -171,7 +175,7 @@
 		this.socket = new Socket({fd: descriptor, readable: false, writable: true});
 		this.socket.unref();
 		this.socket.on('error', () => {
-			// Each write is told of its own error.
+			// The callback of each write receives its error.
 		});
 	}
 
@@ -182,21 +186,21 @@
 	}
 
 	writeSync(bytes: Uint8Array): void {
-		writeAtEnd(this.descriptor, bytes);
+		writeSyncIgnoringErrors(this.descriptor, bytes);
 	}
 }
 
-function writeAtEnd(descriptor: number, bytes: Uint8Array): void {
+function writeSyncIgnoringErrors(descriptor: number, bytes: Uint8Array): void {
 	try {
 		writeSync(descriptor, bytes);
 	} catch {
-		// The reader is gone or full, and the process ends: there is nowhere to tell it.
+		// The reader is gone or its buffer is full. The process exits, so the error cannot be reported.
 	}
 }
 
 /**
- * @param descriptor - an open file, pipe or socket.
- * @returns what writes to it without blocking the loop.
+ * @param descriptor - descriptor of an open file, pipe or socket.
+ * @returns a sink that writes to it without blocking the event loop.
  */
 export function createSink(descriptor: number): Sink {
 	const stats = fstatSync(descriptor);
--- a/src/telemetry/log-event.ts
+++ b/src/telemetry/log-event.ts
@@ -1,4 +1,4 @@
-/** How serious a log event is; the names are those of the log library. */
+/** Severity of a log event; the values are level names of winston. */
 export enum LogLevel {
 	Error = 'error',
 	Warn = 'warn',
@@ -6,7 +6,7 @@
 	Debug = 'debug',
 }
 
-/** One numbered event of the log catalogue. */
+/** A numbered event of the log catalog. */
 export interface LogEvent {
 	readonly number: number;
 	readonly name: string;
@@ -20,7 +20,7 @@
 
 const {Error: error, Warn: warn, Info: info, Debug: debug} = LogLevel;
 
-/** The catalogue of log events. A number is never given to another event. */
+/** Catalog of log events. Numbers are never reused. */
 export const logEvents = {
 	nodeStarted: event(100, 'node-started', info, 'The node listens on its ports.'),
 	nodeReady: event(101, 'node-ready', info, 'The node has a configuration and a membership.'),
@@ -28,7 +28,7 @@
 		102,
 		'node-draining',
 		info,
-		'The node takes no new work and finishes its own.',
+		'The node accepts no new calls and finishes those in flight.',
 	),
 	nodeStopped: event(103, 'node-stopped', info, 'The node has stopped; nothing was in flight.'),
 	nodePaused: event(104, 'node-paused', warn, 'The process was not scheduled for a while.'),
@@ -38,15 +38,15 @@
 		error,
 		'The stop timeout passed with calls in flight.',
 	),
-	unexpectedError: event(106, 'unexpected-error', error, 'A fault of the program was caught.'),
+	unexpectedError: event(106, 'unexpected-error', error, 'An unexpected error was caught.'),
 	backendAnnounced: event(200, 'backend-announced', info, 'A backend server announced itself.'),
 	backendGone: event(201, 'backend-gone', warn, 'The backend server no longer announces itself.'),
-	backendDraining: event(202, 'backend-draining', info, 'The backend server takes no new work.'),
+	backendDraining: event(202, 'backend-draining', info, 'The backend server accepts no new calls.'),
 	backendCrashed: event(
 		203,
 		'backend-crashed',
 		error,
-		'The backend server broke off calls in flight.',
+		'The backend server crashed with calls in flight.',
 	),
 	attemptRefused: event(
 		204,
@@ -59,24 +59,34 @@
 		206,
 		'announcement-rejected',
 		warn,
-		'An announcement was not used; the backend server stays as it was.',
+		'An announcement was rejected; the state of the backend server is unchanged.',
 	),
 	announcementUnconfirmed: event(
 		210,
 		'announcement-unconfirmed',
 		info,
-		'A restarted node waits for a later announcement or the health path before it uses this one.',
+		'A restarted node ignores an announcement until a later one or the health path confirms it.',
 	),
-	callEnded: event(800, 'call-ended', info, 'A call has ended at the node that took it.'),
+	callEnded: event(800, 'call-ended', info, 'A call has ended at its ingress.'),
 	callRetried: event(801, 'call-retried', info, 'A call gets a further attempt.'),
-	callHedged: event(802, 'call-hedged', info, 'A second attempt was sent beside one that is slow.'),
+	callHedged: event(
+		802,
+		'call-hedged',
+		info,
+		'A second attempt was sent because the first one is slow.',
+	),
 	requestRefused: event(
 		803,
 		'request-refused',
 		info,
 		'A request was refused before it became a call.',
 	),
-	backendDeparted: event(207, 'backend-departed', info, 'A backend server said that it leaves.'),
+	backendDeparted: event(
+		207,
+		'backend-departed',
+		info,
+		'A backend server announced its departure.',
+	),
 	backendFound: event(
 		208,
 		'backend-found',
@@ -91,7 +101,7 @@
 	),
 	linkOpened: event(300, 'link-opened', debug, 'A link to a peer is open.'),
 	linkClosed: event(301, 'link-closed', debug, 'A link to a peer has closed.'),
-	linkRejected: event(302, 'link-rejected', warn, 'A peer was turned away.'),
+	linkRejected: event(302, 'link-rejected', warn, 'A link to a peer was rejected.'),
 	frameRejected: event(
 		303,
 		'frame-rejected',
@@ -115,44 +125,44 @@
 	),
 	storeDown: event(600, 'store-down', warn, 'The platform store does not answer.'),
 	storeUp: event(601, 'store-up', info, 'The platform store answers again.'),
-	feedLost: event(
-		602,
-		'feed-lost',
-		warn,
-		'The configuration can no longer be followed in the store.',
-	),
+	feedLost: event(602, 'feed-lost', warn, 'The configuration feed of the store was lost.'),
 	feedRegained: event(
 		603,
 		'feed-regained',
 		info,
-		'The configuration is followed in the store again.',
+		'The configuration feed of the store is available again.',
 	),
 	feedHistoryLost: event(
 		604,
 		'feed-history-lost',
 		warn,
-		'The store has dropped its history; the configuration is read anew.',
+		'The store has dropped its history; the configuration is read again.',
 	),
-	rosterRead: event(605, 'roster-read', info, 'The node is registered and has read the others.'),
+	rosterRead: event(605, 'roster-read', info, 'The node is registered and has read the roster.'),
 	rosterUnavailable: event(
 		606,
 		'roster-unavailable',
 		warn,
-		'The rows of the nodes cannot be reached.',
+		'The roster cannot be read from the store.',
+	),
+	rosterDropped: event(
+		607,
+		'roster-dropped',
+		info,
+		'The roster row of a departed node was deleted.',
 	),
-	rosterDropped: event(607, 'roster-dropped', info, 'The row of a node that is gone was dropped.'),
 	settingsReloaded: event(107, 'settings-reloaded', info, 'The settings file was read again.'),
 	settingsRejected: event(
 		108,
 		'settings-rejected',
 		error,
-		'The settings file could not be used; the old settings hold.',
+		'The settings file is invalid; the previous settings stay in force.',
 	),
 	logLinesDropped: event(
 		109,
 		'log-lines-dropped',
 		warn,
-		'Log lines were dropped to bound the volume.',
+		'Log lines were dropped to limit the volume.',
 	),
 	requestHeld: event(
 		700,
--- a/src/telemetry/logger.ts
+++ b/src/telemetry/logger.ts
@@ -4,7 +4,7 @@
 import {createSink, LineWriter} from './line-writer.js';
 import {logEvents, type LogEvent} from './log-event.js';
 
-/** How log lines are written. */
+/** Format of log lines. */
 export enum LogFormat {
 	Json = 'json',
 	Human = 'human',
@@ -13,24 +13,24 @@
 /** Details of one occurrence of an event. */
 export type LogDetails = Readonly<Record<string, string | number | boolean | undefined>>;
 
-/** Writes numbered events. */
+/** Logs events of the catalog. */
 export interface Logger {
 	/**
-	 * @param event - an entry of the catalogue.
-	 * @param details - what is particular to this occurrence.
+	 * @param event - entry of the catalog.
+	 * @param details - fields of this occurrence.
 	 */
 	log(event: LogEvent, details?: LogDetails): void;
 }
 
-const standardOutput = 1;
-/** How often dropped lines are told, in ms. */
-const dropReportPeriod = 1000;
+const stdoutDescriptor = 1;
+/** Interval at which the number of dropped lines is logged, in ms. */
+const dropReportPeriodMs = 1000;
 
 function timestamp(): string {
 	return new Date().toISOString();
 }
 
-// One step in place of the library's chain of formats, as a busy node writes some 40 lines a second.
+// A single step replaces winston's chain of formats, as a busy node writes about 40 lines per second.
 function jsonLine(info: winston.Logform.TransformableInfo): string {
 	return JSON.stringify({timestamp: timestamp(), ...info});
 }
@@ -42,14 +42,14 @@
 }
 
 /**
- * @param form - JSON for programs, one readable line for people.
- * @param level - the least serious level that is written.
- * @returns a logger that writes to standard output, bounded in volume and never blocking.
+ * @param form - JSON, or lines for human readers.
+ * @param level - least severe level that is written.
+ * @returns a non-blocking logger to standard output with limited volume.
  */
 export function createLogger(form: LogFormat, level: string): Logger {
 	const {printf} = winston.format;
 	const line = printf(form === LogFormat.Json ? jsonLine : humanLine);
-	const writer = new LineWriter(createSink(standardOutput), () => performance.now());
+	const writer = new LineWriter(createSink(stdoutDescriptor), () => performance.now());
 	process.once('exit', () => {
 		writer.flushSync();
 	});
@@ -74,13 +74,13 @@
 		if (lines > 0) {
 			logger.log(logEvents.logLinesDropped, {lines});
 		}
-	}, dropReportPeriod).unref();
+	}, dropReportPeriodMs).unref();
 	return logger;
 }
 
-/** A logger that drops everything; for tests. */
+/** A logger that discards all events; for tests. */
 export const silentLogger: Logger = {
 	log() {
-		// Nothing is wanted here.
+		// Discards the event.
 	},
 };
--- a/src/telemetry/metrics.ts
+++ b/src/telemetry/metrics.ts
@@ -1,7 +1,7 @@
 import {Counter, Gauge, Histogram, Registry} from 'prom-client';
 import {Outcome, RefusalReason} from '../call/index.js';
 
-/** Why a call was tried once more. */
+/** Reason for a further attempt of a call. */
 export enum RetryReason {
 	/** The executor proved that the attempt did not run. */
 	NotRun = 'not-run',
@@ -11,12 +11,13 @@
 	Hedge = 'hedge',
 }
 
-/** What spends the budget of a link between regions or of a backend server. */
+/** Kind of traffic on a link. */
 export enum TrafficKind {
 	Call = 'call',
 	Control = 'control',
 }
 
+/** Upper bounds of the histogram buckets, in seconds. */
 const latencyBuckets = [
 	0.0005, 0.001, 0.0017, 0.0025, 0.005, 0.01, 0.025, 0.05, 0.1, 0.25, 0.5, 1, 2.5, 5, 10,
 ];
@@ -60,7 +61,7 @@
 
 	readonly lateAnswers = new Counter({
 		name: 'turmeric_late_answers_total',
-		help: 'Answers that came after their attempt had ended; they are dropped.',
+		help: 'Answers dropped because they arrived after their attempt had ended.',
 		registers: [this.registry],
 	});
 
@@ -73,7 +74,7 @@
 
 	readonly linkRejects = new Counter({
 		name: 'turmeric_link_rejects_total',
-		help: 'Links closed or turned away, by reason.',
+		help: 'Links closed or rejected, by reason.',
 		labelNames: ['reason'],
 		registers: [this.registry],
 	});
