--- a/src/clock/manual-clock.ts
+++ b/src/clock/manual-clock.ts
@@ -3,7 +3,7 @@
 
 type Timer = {at: Millis; order: number; run: () => void; period: Millis | undefined};
 
-/** A clock that moves only when told to; for tests and for replayed decisions. */
+/** A clock that moves only when advanced; for tests and replayed decisions. */
 export class ManualClock implements Clock {
 	private readonly timers = new Set<Timer>();
 	private time: Millis;
@@ -30,8 +30,8 @@
 	}
 
 	/**
-	 * Moves time forward and runs each timer that falls due, in order.
-	 * @param span - how far to move, in ms.
+	 * Advances time and runs the timers that fall due, in order of their time.
+	 * @param span - duration to advance, in ms.
 	 */
 	advance(span: Millis): void {
 		const end = this.time + span;
--- a/src/clock/millis.ts
+++ b/src/clock/millis.ts
@@ -1,4 +1,4 @@
-/** A span or a point of time in milliseconds. The one unit of time in this code base. */
+/** A duration or a point in time in milliseconds, the only unit of time in this code base. */
 export type Millis = number;
 
 /** One second in milliseconds. */
--- a/src/ini/finding.ts
+++ b/src/ini/finding.ts
@@ -1,26 +1,26 @@
-/** One thing that is wrong in a file, with its place. */
+/** A problem in a file, with its location. */
 export interface Finding {
 	readonly file: string;
 	readonly section: string;
 	readonly key: string;
-	/** Counted from 1; 0 where the thing is missing. */
+	/** Line number from 1; 0 if the section or key is missing. */
 	readonly line: number;
 	readonly problem: string;
 	readonly hint: string;
 }
 
 /**
- * @param finding - what to describe.
- * @returns one line for people.
+ * @param finding - finding to format.
+ * @returns a single line for human readers.
  */
 export function formatFinding(finding: Finding): string {
 	const {file, section, key, line, problem, hint} = finding;
-	const place = line > 0 ? `${file}:${line}` : file;
+	const location = line > 0 ? `${file}:${line}` : file;
 	const name = [section && `[${section}]`, key].filter(Boolean).join(' ');
-	return `${place}: ${name}: ${problem}${hint ? ` (${hint})` : ''}`;
+	return `${location}: ${name}: ${problem}${hint ? ` (${hint})` : ''}`;
 }
 
-/** Reports every finding of a check together. */
+/** Carries all findings of a check. */
 export class FindingsError extends Error {
 	override name = 'FindingsError';
 
--- a/src/ini/ini-document.ts
+++ b/src/ini/ini-document.ts
@@ -1,22 +1,22 @@
 import {parse} from 'ini';
 import type {Finding} from './finding.js';
 
-/** A value of an INI file with its place. */
+/** A value of an INI file with its location. */
 export interface IniEntry {
 	readonly value: string;
-	/** Counted from 1. */
+	/** Line number from 1. */
 	readonly line: number;
 }
 
 /** A section of an INI file. */
 export interface IniSection {
 	readonly name: string;
-	/** Counted from 1. */
+	/** Line number from 1. */
 	readonly line: number;
 	readonly entries: ReadonlyMap<string, IniEntry>;
 }
 
-/** A parsed INI file that remembers the place of each key. */
+/** A parsed INI file with the location of each key. */
 export interface IniDocument {
 	readonly file: string;
 	readonly sections: ReadonlyMap<string, IniSection>;
@@ -25,7 +25,7 @@
 const sectionPattern = /^\[([^\]]+)\]$/v;
 const entryPattern = /^([^=]+?)\s*=\s*(.*)$/v;
 
-function isBlank(line: string): boolean {
+function isBlankOrComment(line: string): boolean {
 	return line === '' || line.startsWith(';') || line.startsWith('#');
 }
 
@@ -34,7 +34,7 @@
 	return String(parsed.value);
 }
 
-/** Builds a document line by line. */
+/** Builds the sections of a document line by line. */
 class IniScanner {
 	readonly sections = new Map<string, IniSection>();
 	private entries: Map<string, IniEntry> | undefined;
@@ -60,7 +60,7 @@
 	private openSection(name: string, line: number): void {
 		this.section = name;
 		if (this.sections.has(name)) {
-			this.report('', line, `section [${name}] stands twice`, 'merge the two');
+			this.report('', line, `section [${name}] appears twice`, 'merge the two');
 		}
 
 		this.entries = new Map<string, IniEntry>();
@@ -69,9 +69,9 @@
 
 	private addEntry(key: string, text: string, line: number): void {
 		if (!this.entries) {
-			this.report(key, line, 'stands before the first section', 'put it below a [section]');
+			this.report(key, line, 'appears before the first section', 'put it below a [section]');
 		} else if (this.entries.has(key)) {
-			this.report(key, line, 'stands twice', 'keep one');
+			this.report(key, line, 'appears twice', 'keep one');
 		} else {
 			this.entries.set(key, {value: parseValue(text), line});
 		}
@@ -83,17 +83,18 @@
 }
 
 /**
- * Parses INI text. The `ini` library reads the values; the scan keeps the places, which it does not.
- * @param file - name for messages.
- * @param text - the content.
- * @param findings - receives what is wrong.
- * @returns the document, without the lines that are wrong.
+ * Parses INI text. The `ini` library parses the values; the scan records the locations, which the
+ * library does not provide.
+ * @param file - name of the file, for messages.
+ * @param text - content of the file.
+ * @param findings - receives the problems found.
+ * @returns the document without the invalid lines.
  */
 export function parseIni(file: string, text: string, findings: Finding[]): IniDocument {
 	const scanner = new IniScanner(file, findings);
 	for (const [index, raw] of text.split(/\r?\n/v).entries()) {
 		const content = raw.trim();
-		if (!isBlank(content)) {
+		if (!isBlankOrComment(content)) {
 			scanner.scan(content, index + 1);
 		}
 	}
--- a/src/ini/section-reader.ts
+++ b/src/ini/section-reader.ts
@@ -2,15 +2,16 @@
 import type {Finding} from './finding.js';
 import type {IniDocument, IniEntry} from './ini-document.js';
 
-/** Bounds of a number and the value taken when the key is missing. */
+/** Bounds of a number and its default. */
 export interface NumberRule {
 	readonly min: number;
 	readonly max: number;
-	/** Undefined where the key must be given. */
+	/** Value if the key is missing; undefined if the key is required. */
 	readonly fallback?: number;
 }
 
-const unitFactors: Readonly<Record<string, number>> = {
+/** Milliseconds per unit. */
+const unitMillis: Readonly<Record<string, number>> = {
 	ms: 1,
 	s: 1000,
 	min: 60_000,
@@ -18,9 +19,9 @@
 };
 const durationPattern = /^(\d+(?:\.\d+)?)\s*(ms|s|min|h)$/v;
 
-/** Reads the keys of one section, collecting findings in place of failing at the first. */
+/** Reads the keys of a section and collects all findings instead of failing at the first one. */
 export class SectionReader {
-	private readonly known = new Set<string>();
+	private readonly knownKeys = new Set<string>();
 	private readonly entries: ReadonlyMap<string, IniEntry>;
 	private readonly line: number;
 
@@ -36,8 +37,8 @@
 
 	/**
 	 * @param key - name of the key.
-	 * @param fallback - taken when the key is missing; undefined where it must be given.
-	 * @returns the text.
+	 * @param fallback - value if the key is missing; undefined if the key is required.
+	 * @returns the value; empty if a required key is missing.
 	 */
 	text(key: string, fallback?: string): string {
 		const entry = this.entry(key);
@@ -80,7 +81,7 @@
 	/**
 	 * @param key - name of the key.
 	 * @param rule - bounds and fallback in ms.
-	 * @returns a span of time in ms, written with its unit: `250 ms`, `5 s`, `2 min`, `1 h`.
+	 * @returns a duration in ms; the value has a unit, as in `250 ms`, `5 s`, `2 min`, `1 h`.
 	 */
 	duration(key: string, rule: NumberRule): Millis {
 		const entry = this.entry(key);
@@ -89,14 +90,14 @@
 		}
 
 		const match = durationPattern.exec(entry.value);
-		const value = match ? Number(match[1]) * unitFactors[match[2]!]! : Number.NaN;
+		const value = match ? Number(match[1]) * unitMillis[match[2]!]! : Number.NaN;
 		return this.bounded(key, value, rule, `give ${rule.min} ms to ${rule.max} ms, as in "250 ms"`);
 	}
 
 	/**
 	 * @param key - name of the key.
-	 * @param fallback - taken when the key is missing.
-	 * @returns the items of a list with commas between them.
+	 * @param fallback - value if the key is missing.
+	 * @returns the non-empty items of a comma-separated list.
 	 */
 	list(key: string, fallback: readonly string[] = []): readonly string[] {
 		const entry = this.entry(key);
@@ -110,8 +111,8 @@
 
 	/**
 	 * @param key - name of the key.
-	 * @param choices - what the key may say.
-	 * @param fallback - taken when the key is missing.
+	 * @param choices - allowed values.
+	 * @param fallback - value if the key is missing.
 	 * @returns one of the choices.
 	 */
 	choice<T extends string>(key: string, choices: readonly T[], fallback: T): T {
@@ -126,8 +127,8 @@
 
 	/**
 	 * @param key - name of the key.
-	 * @param fallback - taken when the key is missing.
-	 * @returns whether the key says `true`.
+	 * @param fallback - value if the key is missing.
+	 * @returns whether the value is `true`.
 	 */
 	flag(key: string, fallback: boolean): boolean {
 		return this.choice(key, ['true', 'false'], String(fallback)) === 'true';
@@ -136,8 +137,8 @@
 	/**
 	 * Adds a finding about a key.
 	 * @param key - name of the key.
-	 * @param problem - what is wrong.
-	 * @param hint - what to do about it.
+	 * @param problem - description of the problem.
+	 * @param hint - how to fix it.
 	 */
 	report(key: string, problem: string, hint: string): void {
 		const line = this.entries.get(key)?.line ?? this.line;
@@ -151,17 +152,17 @@
 		});
 	}
 
-	/** Reports every key that nothing has read. */
+	/** Reports each key of the section that was not read. */
 	reportUnknownKeys(): void {
 		for (const key of this.entries.keys()) {
-			if (!this.known.has(key)) {
-				this.report(key, 'is not known', `known keys: ${[...this.known].join(', ')}`);
+			if (!this.knownKeys.has(key)) {
+				this.report(key, 'is not known', `known keys: ${[...this.knownKeys].join(', ')}`);
 			}
 		}
 	}
 
 	private entry(key: string): IniEntry | undefined {
-		this.known.add(key);
+		this.knownKeys.add(key);
 		return this.entries.get(key);
 	}
 
@@ -174,20 +175,20 @@
 	}
 
 	private bounded(key: string, value: number, rule: NumberRule, hint: string): number {
-		const isInside = value >= rule.min && value <= rule.max;
-		if (!isInside) {
+		const isInBounds = value >= rule.min && value <= rule.max;
+		if (!isInBounds) {
 			this.report(key, `"${this.entries.get(key)!.value}" is out of bounds`, hint);
 		}
 
-		return isInside ? value : rule.min;
+		return isInBounds ? value : rule.min;
 	}
 }
 
 /**
- * Reports sections that nothing reads.
+ * Reports unknown sections.
  * @param document - a parsed file.
- * @param isKnown - tells whether a section has a meaning.
- * @param findings - receives what is wrong.
+ * @param isKnown - returns whether a section name is known.
+ * @param findings - receives the problems found.
  */
 export function reportUnknownSections(
 	document: IniDocument,
--- a/src/node/announcement.ts
+++ b/src/node/announcement.ts
@@ -55,7 +55,7 @@
 			return value;
 		}
 
-		this.report(key, 'is not a text');
+		this.report(key, 'is not a string');
 		return '';
 	}
 
@@ -101,7 +101,7 @@
 
 	const address = reader.text('address');
 	if (isIP(address) === 0) {
-		reader.report('address', 'is not an IP number');
+		reader.report('address', 'is not an IP address');
 	}
 
 	const service = reader.text('service');
--- a/src/random/random.ts
+++ b/src/random/random.ts
@@ -1,22 +1,23 @@
 import {uniformInt} from 'pure-rand/distribution/uniformInt';
 import {xoroshiro128plus} from 'pure-rand/generator/xoroshiro128plus';
 
-/** Source of random numbers; seeded, so that a run can be repeated. */
+/** Seeded source of random numbers, so that a run can be reproduced. */
 export interface Random {
 	/** @returns a number from 0 (included) to 1 (excluded). */
 	next(): number;
 	/**
 	 * @param bound - the excluded upper bound; at least 1.
-	 * @returns a whole number from 0 to `bound - 1`.
+	 * @returns an integer from 0 to `bound - 1`.
 	 */
 	below(bound: number): number;
 }
 
+/** Number of distinct values of `next`. */
 const resolution = 2 ** 30;
 
 /**
- * @param seed - any whole number.
- * @returns a generator that yields the same numbers for the same seed.
+ * @param seed - any integer.
+ * @returns a generator that returns the same sequence for the same seed.
  */
 export function createRandom(seed: number): Random {
 	const generator = xoroshiro128plus(seed);
@@ -27,10 +28,10 @@
 }
 
 /**
- * @param items - what to draw from.
- * @param count - how many to draw at the most.
- * @param random - the source of random numbers.
- * @returns distinct items in random order.
+ * @param items - items to sample from.
+ * @param count - maximum number of items to draw.
+ * @param random - source of random numbers.
+ * @returns up to `count` items in random order, drawn without replacement.
  */
 export function sample<T>(items: readonly T[], count: number, random: Random): T[] {
 	const pool = [...items];
--- a/src/settings/endpoint.ts
+++ b/src/settings/endpoint.ts
@@ -1,6 +1,6 @@
 import {isIP} from 'node:net';
 
-/** An IP number and a port. */
+/** An IP address and a port. */
 export interface Endpoint {
 	readonly address: string;
 	readonly port: number;
@@ -10,7 +10,7 @@
 
 /**
  * @param text - `IP:port`.
- * @returns the endpoint, or undefined when the text is none.
+ * @returns the endpoint, or undefined if the text is not a valid one.
  */
 export function parseEndpoint(text: string): Endpoint | undefined {
 	const at = text.lastIndexOf(':');
@@ -21,7 +21,7 @@
 }
 
 /**
- * @param endpoint - what to write.
+ * @param endpoint - endpoint to format.
  * @returns `IP:port`.
  */
 export function formatEndpoint(endpoint: Endpoint): string {
--- a/src/settings/node-settings.ts
+++ b/src/settings/node-settings.ts
@@ -10,42 +10,43 @@
 import {LogFormat, LogLevel} from '../telemetry/index.js';
 import {parseEndpoint, type Endpoint} from './endpoint.js';
 
-/** What is known of the backend server beside the node before it announces itself. */
+/** What is known about the backend server of the VM before its first announcement. */
 export interface BackendSettings {
-	/** Its service, in whose name its calls are made; empty where unknown. */
+	/** Service of the backend server, on behalf of which its own calls are made; empty if unknown. */
 	readonly service: string;
-	/** Where it listens; undefined where unknown. */
+	/** Address and port of the backend server; undefined if unknown. */
 	readonly endpoint: Endpoint | undefined;
-	/** Time between two of its announcements. */
+	/** Time between two announcements, in ms. */
 	readonly announcePeriod: Millis;
 }
 
-/** What a kilobyte costs by its way, in answers of the least urgent rank. */
+/** Cost of transferring a kilobyte, in units of one answered call of the lowest priority. */
 export interface TransferCostSettings {
 	readonly otherZoneCost: number;
 	readonly otherRegionCost: number;
 }
 
-/** Further attempts that all nodes together may send to a service. */
+/** Budget of further attempts that all nodes in common may send to a service. */
 export interface BudgetSettings {
-	/** As a share of the requests for the service. */
+	/** Further attempts as a share of the requests for the service. */
 	readonly ratio: number;
-	/** Besides the share, in each window of the operators' count. */
+	/** Further attempts allowed in addition to the share, per window of the operators' count. */
 	readonly slack: number;
 }
 
-/** What a node learns from its settings file. */
+/** Settings of a node, read from its settings file. */
 export interface NodeSettings {
-	/** IP number on which the node listens. */
+	/** IP address on which the node listens. */
 	readonly address: string;
-	/** IP number under which peers reach the node. */
+	/** IP address at which peers reach the node. */
 	readonly advertise: string;
 	readonly callerPort: number;
 	/** TCP port of links and UDP port of gossip. */
 	readonly linkPort: number;
 	readonly operatorPort: number;
-	/** Where readiness is asked and the backend server announces itself, apart from the operators' port. */
+	/** Port of the readiness check besides the operators' port; undefined for none. */
 	readonly readinessPort: number | undefined;
+	/** Port for announcements of the backend server besides the operators' port; undefined for none. */
 	readonly announcementPort: number | undefined;
 	readonly backend: BackendSettings;
 	readonly ways: TransferCostSettings;
@@ -58,9 +59,9 @@
 	readonly stopTimeout: Millis;
 	readonly logForm: LogFormat;
 	readonly logLevel: LogLevel;
-	/** Seed of the random numbers; undefined for one of its own. */
+	/** Seed of the random numbers; undefined for a random seed. */
 	readonly randomSeed: number | undefined;
-	/** Whether the whole deployment starts for the first time, so that the store knows no node. */
+	/** Whether the whole deployment starts for the first time, so that the store has no roster yet. */
 	readonly isFirstStart: boolean;
 }
 
@@ -72,7 +73,7 @@
 function readIp(reader: SectionReader, key: string, fallback?: string): string {
 	const value = reader.text(key, fallback);
 	if (value !== '' && isIP(value) === 0) {
-		reader.report(key, `"${value}" is not an IP number`, 'names are not looked up');
+		reader.report(key, `"${value}" is not an IP address`, 'host names are not resolved');
 	}
 
 	return value;
@@ -92,8 +93,8 @@
 	return endpoints;
 }
 
-// For environments that assign whole addresses to what a node serves.
-function portOf(reader: SectionReader, key: string): number | undefined {
+// Reads the port of an `IP:port` value, for environments that assign a whole address to each port.
+function readPort(reader: SectionReader, key: string): number | undefined {
 	return readEndpoints(reader, key)[0]?.port;
 }
 
@@ -106,7 +107,7 @@
 	};
 }
 
-function readWays(reader: SectionReader): TransferCostSettings {
+function readTransferCosts(reader: SectionReader): TransferCostSettings {
 	const cost = {min: 0, max: 1, fallback: 0};
 	return {
 		otherZoneCost: reader.number('other-zone-cost', cost),
@@ -127,8 +128,8 @@
 }
 
 /**
- * Reads and checks a node's settings as a whole.
- * @param file - name for messages.
+ * Parses and validates the settings of a node.
+ * @param file - name of the file, for messages.
  * @param text - content of the INI file.
  * @returns the settings.
  * @throws {@link FindingsError} with every finding.
@@ -155,13 +156,13 @@
 	const settings: NodeSettings = {
 		address,
 		advertise: readIp(node, 'advertise', address),
-		callerPort: portOf(node, 'callers') ?? port('caller-port', 7000),
+		callerPort: readPort(node, 'callers') ?? port('caller-port', 7000),
 		linkPort: port('link-port', 7001),
 		operatorPort: port('operator-port', 7002),
-		readinessPort: portOf(node, 'readiness'),
-		announcementPort: portOf(node, 'announcements'),
+		readinessPort: readPort(node, 'readiness'),
+		announcementPort: readPort(node, 'announcements'),
 		backend: readBackend(backend),
-		ways: readWays(ways),
+		ways: readTransferCosts(ways),
 		budgets: readBudgets(budgets),
 		region: node.text('region'),
 		zone: node.text('zone'),
--- a/src/util/bytes.ts
+++ b/src/util/bytes.ts
@@ -1,6 +1,6 @@
 /**
- * @param chunks - pieces of bytes.
- * @returns the pieces as one.
+ * @param chunks - byte arrays to concatenate.
+ * @returns the concatenated bytes; a single chunk is returned without a copy.
  */
 export function concatBytes(chunks: readonly Uint8Array[]): Uint8Array {
 	if (chunks.length === 1) {
@@ -13,10 +13,10 @@
 	}
 
 	const bytes = new Uint8Array(length);
-	let at = 0;
+	let offset = 0;
 	for (const chunk of chunks) {
-		bytes.set(chunk, at);
-		at += chunk.length;
+		bytes.set(chunk, offset);
+		offset += chunk.length;
 	}
 
 	return bytes;
--- a/src/util/hash.ts
+++ b/src/util/hash.ts
@@ -1,42 +1,42 @@
 import {hash} from 'node:crypto';
 
-/** Built into Node.js, and needs no start of its own; nothing here must withstand an attack. */
+/** Built into Node.js without initialization; these hashes need not be cryptographically secure. */
 const algorithm = 'sha1';
-const bytes48 = 6;
-const digits = 16;
+const hash48Bytes = 6;
+const hexDigits = 16;
 
 /**
- * @param text - what to hash.
- * @returns a whole number of 32 bits.
+ * @param text - text to hash.
+ * @returns an unsigned 32-bit integer.
  */
 export function hash32(text: string): number {
 	return hash(algorithm, text, 'buffer').readUInt32LE(0);
 }
 
 /**
- * @param text - what to hash.
- * @returns a whole number of 48 bits, which a double holds exactly.
+ * @param text - text to hash.
+ * @returns an unsigned 48-bit integer, which a double represents exactly.
  */
 export function hash48(text: string): number {
-	return hash(algorithm, text, 'buffer').readUIntLE(0, bytes48);
+	return hash(algorithm, text, 'buffer').readUIntLE(0, hash48Bytes);
 }
 
 /**
- * @param bytes - what to hash.
+ * @param bytes - bytes to hash.
  * @returns 16 hexadecimal digits.
  */
 export function hashBytes(bytes: Uint8Array): string {
-	return hash(algorithm, bytes, 'hex').slice(0, digits);
+	return hash(algorithm, bytes, 'hex').slice(0, hexDigits);
 }
 
 /**
- * Rendezvous hashing: each candidate gets a score for a topic and the highest win, so that a
- * candidate that leaves moves only its own topics.
+ * Rendezvous hashing: each candidate has a score for each topic and the highest scores win, so that
+ * only the topics of a candidate move when it leaves.
  * Source: Thaler and Ravishankar, "Using name-based mappings to increase hit rates", 1998.
- * @param topic - what is shared out.
- * @param candidates - who may get it.
- * @param count - how many get it.
- * @returns the candidates with the highest scores.
+ * @param topic - topic to assign.
+ * @param candidates - ids of the candidates.
+ * @param count - maximum number of candidates to select.
+ * @returns the candidates with the highest scores, highest first.
  */
 export function rendezvous(topic: string, candidates: readonly string[], count: number): string[] {
 	const scored = candidates.map((candidate) => ({
--- a/src/util/invariant.ts
+++ b/src/util/invariant.ts
@@ -1,13 +1,13 @@
-/** A broken assumption of the program itself. */
+/** An internal assumption of the program does not hold. */
 export class InvariantError extends Error {
 	override name = 'InvariantError';
 }
 
 /**
- * Asserts a rule that the code below relies on.
- * @param condition - must hold.
- * @param rule - the rule in words, for the message.
- * @throws {@link InvariantError} when the rule is broken.
+ * Asserts an internal assumption.
+ * @param condition - condition that must hold.
+ * @param rule - description of the assumption, for the message.
+ * @throws {@link InvariantError} if the condition is false.
  */
 export function invariant(condition: boolean, rule: string): asserts condition {
 	if (!condition) {
--- a/src/util/with-resolvers.ts
+++ b/src/util/with-resolvers.ts
@@ -1,10 +1,10 @@
-/** A promise with the function that settles it. */
+/** A promise with the function that resolves it. */
 export interface Deferred<T> {
 	readonly promise: Promise<T>;
 	resolve(value: T): void;
 }
 
-/** @returns a promise that is settled from outside. */
+/** @returns a promise and the function that resolves it. */
 export function withResolvers<T>(): Deferred<T> {
 	let settle: (value: T) => void = () => undefined;
 	const promise = new Promise<T>((resolve) => {
