--- a/src/node/backend-probe.ts
+++ b/src/node/backend-probe.ts
@@ -84,7 +84,7 @@
 	private readonly agent = new Agent({connections: 1});
 	private pending: Promise<void> | undefined;
 	private isScheduled = false;
-	/** Time until which calls trigger no probe, as the last probe reported no speed. */
+	/** Time until which calls trigger no probe, as the last one failed or reported no speed. */
 	private suppressedUntil: Millis = 0;
 
 	constructor(private readonly deps: BackendProbeDependencies) {
--- a/src/node/crash-watcher.ts
+++ b/src/node/crash-watcher.ts
@@ -89,7 +89,7 @@
 		this.deps.gossip.spreadRumor({id, kind: RumorKind.HoldLifted, fields: [fingerprint]});
 	}
 
-	// A broken connection alone is no crash; it is one if the backend server also refuses a new connection.
+	// A broken connection alone is no crash; it counts as one if a new connection fails as well.
 	private confirm(endpoint: Endpoint, onConfirmed: () => void): void {
 		const {address, port} = endpoint;
 		const socket = createConnection({host: address, port, timeout: connectTimeout});
