--- a/src/wiring/routed-node.ts
+++ b/src/wiring/routed-node.ts
@@ -130,7 +130,7 @@
 			clock,
 			random,
 			logger,
-			revisions: revisions,
+			revisions,
 			gossip,
 			hub,
 			store,
--- a/src/wiring/turmeric-node.ts
+++ b/src/wiring/turmeric-node.ts
@@ -73,7 +73,7 @@
 			clock,
 			random: this.core.random,
 			logger,
-			revisions: revisions,
+			revisions,
 			gossip,
 			hub,
 			store: this.store && new DeclarationStore(this.store),
@@ -82,7 +82,7 @@
 			self: this.keyOwner,
 			gossip,
 			hub,
-			revisions: revisions,
+			revisions,
 			store: this.store,
 		});
 		this.keyedCalls = this.createKeyedCalls();
@@ -168,7 +168,7 @@
 			isRestart: false,
 			createPlacement({clock, random, gossip, revisions}) {
 				const routing = new ExpectedWaitPolicy({clock, random, self: () => gossip.localMember});
-				return new NearestFirstPlacement({clock, gossip, routing, revisions: revisions});
+				return new NearestFirstPlacement({clock, gossip, routing, revisions});
 			},
 			budgetBursts: () => budgetBursts,
 			// Backend servers of the native protocol don't report their speed.
