--- a/tests/at-most-once.test.ts
+++ b/tests/at-most-once.test.ts
@@ -10,8 +10,8 @@
 	return {node, service: 'stock', customer: 'kuressaare', method: 'POST', ...request};
 }
 
-/** Keeps the callers of the other pairs from being served by anyone but the given pair. */
-async function leaveOnly(pair: Pair): Promise<void> {
+/** Silences the backend servers of the other pairs, so that only the given pair serves calls. */
+async function serveOnlyAt(pair: Pair): Promise<void> {
 	for (const other of deployment.pairs) {
 		if (other !== pair) {
 			await deployment.setBehaviour(other, {isSilent: true});
@@ -29,7 +29,7 @@
 	await deployment.waitFor(`${count} members to serve`, async () => deployment.isServing(count));
 }
 
-async function bringBack(): Promise<void> {
+async function restoreAll(): Promise<void> {
 	for (const pair of deployment.pairs) {
 		await deployment.setBehaviour(pair, {isSilent: false, slowness: 1});
 	}
@@ -41,7 +41,7 @@
 	await deployment.waitFor('the call to run', async () => (await deployment.running(pair)) > 0);
 }
 
-function expectTruth(answer: CallerAnswer, callId: string): void {
+function expectConsistentOutcome(answer: CallerAnswer, callId: string): void {
 	const runs = deployment.runsOf(callId);
 	expect(runs).toBeLessThanOrEqual(1);
 	if (answer.outcome === 'not-run') {
@@ -60,45 +60,45 @@
 describe('at most once', () => {
 	it('says unknown, and runs once, when the executor is killed with a call in flight', async () => {
 		const [ingress, executor] = [deployment.pairs[0]!, deployment.pairs[1]!];
-		await leaveOnly(executor);
+		await serveOnlyAt(executor);
 		const pending = sendCall(callTo(ingress, {callId: 'killed', path: '/?ms=3000', timeout: 4000}));
 		await waitUntilRunning(executor);
 		deployment.group.signal(executor.node, 'SIGKILL');
 		const answer = await pending;
 		expect(answer.outcome).toBe('unknown');
-		expectTruth(answer, 'killed');
+		expectConsistentOutcome(answer, 'killed');
 		await deployment.startNode(executor);
-		await bringBack();
+		await restoreAll();
 	});
 
 	it('says unknown when the backend server is killed with a call in flight', async () => {
 		const [ingress, executor] = [deployment.pairs[0]!, deployment.pairs[2]!];
-		await leaveOnly(executor);
+		await serveOnlyAt(executor);
 		const pending = sendCall(callTo(ingress, {callId: 'lost', path: '/?ms=3000', timeout: 4000}));
 		await waitUntilRunning(executor);
 		deployment.group.signal(executor.backend, 'SIGKILL');
 		const answer = await pending;
 		expect(answer).toMatchObject({outcome: 'unknown', reason: 'backend-lost'});
-		expectTruth(answer, 'lost');
+		expectConsistentOutcome(answer, 'lost');
 		await deployment.startBackend(executor);
-		await bringBack();
+		await restoreAll();
 	});
 
 	it('never runs a call of a frozen executor elsewhere', async () => {
 		const [ingress, executor] = [deployment.pairs[0]!, deployment.pairs[1]!];
-		await leaveOnly(executor);
+		await serveOnlyAt(executor);
 		deployment.group.signal(executor.node, 'SIGSTOP');
 		const pending = sendCall(callTo(ingress, {callId: 'frozen', timeout: 2500}));
-		await bringBackOthers(executor);
+		await restoreAllExcept(executor);
 		const answer = await pending;
 		deployment.group.signal(executor.node, 'SIGCONT');
-		await bringBack();
-		expectTruth(answer, 'frozen');
+		await restoreAll();
+		expectConsistentOutcome(answer, 'frozen');
 	});
 
 	it('refuses at the executor what waited in its socket past its deadline', async () => {
 		const [ingress, executor] = [deployment.pairs[0]!, deployment.pairs[2]!];
-		await leaveOnly(executor);
+		await serveOnlyAt(executor);
 		await sendCall(callTo(ingress, {callId: 'warm'}));
 		deployment.group.signal(executor.node, 'SIGSTOP');
 		const answer = await sendCall(callTo(ingress, {callId: 'late', timeout: 400}));
@@ -107,8 +107,8 @@
 			setTimeout(resolve, 1200);
 		});
 		deployment.group.signal(executor.node, 'SIGCONT');
-		await bringBack();
-		// The frame has been read by now, as the executor answers a later call over the same link.
+		await restoreAll();
+		// Once the executor answers this later call on the same link, it has read the late frame.
 		await sendCall(callTo(ingress, {callId: 'after'}));
 		expect(deployment.runsOf('late')).toBe(0);
 	});
@@ -123,33 +123,33 @@
 	});
 
 	it('tells the truth after the home of a key was killed', async () => {
-		const home = deployment.pairs[0]!;
+		const owner = deployment.pairs[0]!;
 		const request = {callId: 'orphan', key: 'orphan', path: '/?ms=2000', timeout: 6000};
-		const first = sendCall(callTo(home, request));
+		const first = sendCall(callTo(owner, request));
 		await deployment.waitFor('the call to run', async () => deployment.runsOf('orphan') > 0);
-		deployment.group.signal(home.node, 'SIGKILL');
+		deployment.group.signal(owner.node, 'SIGKILL');
 		await first;
 		const again = await sendCall(callTo(deployment.pairs[1]!, request));
 		expect(again.outcome).toBe('unknown');
 		expect(deployment.runsOf('orphan')).toBe(1);
-		await deployment.startNode(home);
+		await deployment.startNode(owner);
 		await waitForServing(3);
-		const third = await sendCall(callTo(home, request));
+		const third = await sendCall(callTo(owner, request));
 		expect(third.outcome).toBe('unknown');
 		expect(deployment.runsOf('orphan')).toBe(1);
 	});
 
 	it('replays the answer after the home of a key has stopped gracefully', async () => {
-		const home = deployment.pairs[1]!;
+		const owner = deployment.pairs[1]!;
 		const request = {callId: 'heir', key: 'heir'};
-		const first = await sendCall(callTo(home, request));
+		const first = await sendCall(callTo(owner, request));
 		expect(first.outcome).toBe('answered');
-		deployment.group.signal(home.node, 'SIGTERM');
-		expect(await deployment.group.get(home.node).ended).toBe(0);
+		deployment.group.signal(owner.node, 'SIGTERM');
+		expect(await deployment.group.get(owner.node).ended).toBe(0);
 		const again = await sendCall(callTo(deployment.pairs[0]!, request));
 		expect(again).toMatchObject({outcome: 'answered', body: first.body});
 		expect(deployment.runsOf('heir')).toBe(1);
-		await deployment.startNode(home);
+		await deployment.startNode(owner);
 		await waitForServing(3);
 	});
 
@@ -167,7 +167,7 @@
 		await deployment.setStoreFaults({isDown: true});
 		const [node, other] = [deployment.pairs[0]!, deployment.pairs[2]!];
 		const refused = await sendCall(callTo(node, {callId: 'no-claim', key: 'no-claim'}));
-		// An earlier copy may have run: the claim that would tell cannot be read.
+		// An earlier copy may have run: the claim that would show it cannot be read.
 		expect(refused).toMatchObject({outcome: 'unknown', reason: 'store-unavailable'});
 		expect(deployment.runsOf('no-claim')).toBe(0);
 		const issued = await fetch(`http://${node.address}:${ports.caller}/turmeric/keys`, {
@@ -190,9 +190,9 @@
 	});
 
 	it('never calls a copy not run while it cannot tell whether an earlier one ran', async () => {
-		const [home, other] = [deployment.pairs[0]!, deployment.pairs[2]!];
+		const [owner, other] = [deployment.pairs[0]!, deployment.pairs[2]!];
 		const request = {callId: 'earlier', key: 'earlier'};
-		const first = await sendCall(callTo(home, request));
+		const first = await sendCall(callTo(owner, request));
 		expect(first.outcome).toBe('answered');
 		await deployment.setStoreFaults({isDown: true});
 		const copy = await sendCall(callTo(other, request));
@@ -216,9 +216,9 @@
 	});
 });
 
-async function bringBackOthers(except: Pair): Promise<void> {
+async function restoreAllExcept(excluded: Pair): Promise<void> {
 	for (const pair of deployment.pairs) {
-		if (pair !== except) {
+		if (pair !== excluded) {
 			await deployment.setBehaviour(pair, {isSilent: false});
 		}
 	}
--- a/tests/endless-bytes.test.ts
+++ b/tests/endless-bytes.test.ts
@@ -2,29 +2,35 @@
 import {afterAll, afterEach, beforeAll, describe, expect, it} from 'vitest';
 import {eventually, Mesh, type MeshNode, type MeshRoute} from '../scaffold/mesh/mesh.js';
 
-const timeout = 1000;
-/** Bound of the users' pages from the time-out of a route to the end of the call. */
-const lateBound = 500;
-/** What a call of another service may take beside it: its work of 5 ms, and what a busy machine adds. */
-const neighborBound = 500;
-/** Memory that a body in transit may take in a node: the windows of a link and the sockets' buffers. */
-const memoryBoundMb = 64;
+const routeTimeoutMs = 1000;
+/** Longest time in ms from the time-out of a route to the end of the call. */
+const maxOverrunMs = 500;
+/** Longest concurrent call to another service in ms: 5 ms of work, the rest for a busy machine. */
+const maxOtherCallMs = 500;
+/** Most memory in MB for a body in transit through a node: link windows and socket buffers. */
+const maxMemoryMb = 64;
 
 const routes: MeshRoute[] = [
-	{host: 'a.example', prefix: '/safe/', kind: 'safe', service: 'alpha', timeout_ms: timeout},
-	{host: 'a.example', prefix: '/unsafe/', kind: 'unsafe', service: 'alpha', timeout_ms: timeout},
-	{host: 'a.example', prefix: '/other/', kind: 'safe', service: 'beta', timeout_ms: timeout},
+	{host: 'a.example', prefix: '/safe/', kind: 'safe', service: 'alpha', timeout_ms: routeTimeoutMs},
+	{
+		host: 'a.example',
+		prefix: '/unsafe/',
+		kind: 'unsafe',
+		service: 'alpha',
+		timeout_ms: routeTimeoutMs,
+	},
+	{host: 'a.example', prefix: '/other/', kind: 'safe', service: 'beta', timeout_ms: routeTimeoutMs},
 ];
 
-/** The id of the request takes the place of the mark. */
-const idMark = 'ID';
-const answerHead = `HTTP/1.1 200 OK\r\nX-Server-Signature: signed\r\nX-Attempt-Id: ${idMark}\r\n`;
+/** Placeholder in the response head that is replaced by the id of the request. */
+const idPlaceholder = 'ID';
+const answerHead = `HTTP/1.1 200 OK\r\nX-Server-Signature: signed\r\nX-Attempt-Id: ${idPlaceholder}\r\n`;
 const line = 'x'.repeat(4096);
 const chunk = `1000\r\n${line}\r\n`;
-const pause = 5;
+const pauseMs = 5;
 
-/** What the backend server writes: a beginning, and then a piece again and again until it is closed. */
-const kinds = [
+/** Endless responses: `head` is written once, then `piece` until the connection closes. */
+const endlessResponses = [
 	{name: 'bytes that are no answer', head: '', piece: line},
 	{name: 'a header field without end', head: `${answerHead}X-Long: `, piece: line},
 	{name: 'header fields without end', head: answerHead, piece: 'X-One: more\r\n'.repeat(100)},
@@ -60,7 +66,7 @@
 
 		if (isSlow) {
 			socket.write(piece);
-			setTimeout(pump, pause);
+			setTimeout(pump, pauseMs);
 		} else if (socket.write(piece)) {
 			setImmediate(pump);
 		} else {
@@ -72,7 +78,7 @@
 	pump();
 }
 
-/** @returns when the caller's connection or its answer has ended, in ms from the start. */
+/** @returns the time in ms until the caller's connection fails or the response closes. */
 async function call(node: MeshNode, port: number, path: string, id: string): Promise<number> {
 	const startedAt = performance.now();
 	return new Promise((resolve) => {
@@ -113,34 +119,39 @@
 		await mesh.stop();
 	});
 
-	const cases = kinds.flatMap((kind) => [
+	const cases = endlessResponses.flatMap((kind) => [
 		{...kind, pace: 'fast', isSlow: false},
 		{...kind, pace: 'slowly', isSlow: true},
 	]);
 
-	it.each(cases)('($name, $pace) costs its own call and nothing else', async (one) => {
+	it.each(cases)('($name, $pace) costs its own call and nothing else', async (testCase) => {
 		alpha.backend.behavior = (seen, res) => {
 			const isEndless = seen.path.endsWith('/endless');
 			if (isEndless) {
-				writeEndlessly(res, one.head.replace(idMark, seen.id), one.piece, one.isSlow);
+				writeEndlessly(
+					res,
+					testCase.head.replace(idPlaceholder, seen.id),
+					testCase.piece,
+					testCase.isSlow,
+				);
 			}
 
 			return isEndless;
 		};
 
 		const before = [alpha, caller].map((node) => mesh.usage(node).residentMb);
-		const id = `${one.name.replaceAll(' ', '-')}-${one.pace}`;
+		const id = `${testCase.name.replaceAll(' ', '-')}-${testCase.pace}`;
 		const ended = call(caller, mesh.callerPort, '/unsafe/endless', id);
 		const startedAt = performance.now();
-		const neighbor = await mesh.send(caller, {path: '/other/1'});
-		expect(neighbor.status).toBe(200);
-		expect(performance.now() - startedAt).toBeLessThan(neighborBound);
-		expect(await ended).toBeLessThan(timeout + lateBound);
+		const otherAnswer = await mesh.send(caller, {path: '/other/1'});
+		expect(otherAnswer.status).toBe(200);
+		expect(performance.now() - startedAt).toBeLessThan(maxOtherCallMs);
+		expect(await ended).toBeLessThan(routeTimeoutMs + maxOverrunMs);
 		const runs = alpha.backend.seen.filter((seen) => seen.id === id);
 		expect(runs).toHaveLength(1);
 		await eventually(() => runs[0]!.isAbandoned);
 		for (const [i, node] of [alpha, caller].entries()) {
-			expect(mesh.usage(node).residentMb - before[i]!).toBeLessThan(memoryBoundMb);
+			expect(mesh.usage(node).residentMb - before[i]!).toBeLessThan(maxMemoryMb);
 		}
 
 		expect(await mesh.statusFor(caller, {path: '/safe/after'})).toBe(200);
