--- a/tests/broken-paths.test.ts
+++ b/tests/broken-paths.test.ts
@@ -49,8 +49,8 @@
 	});
 
 	it('asks and fences when a link is cut with a call on its way', async () => {
-		const [ingress, , far] = deployment.pairs;
-		await setServing([far!]);
+		const [ingress, , executor] = deployment.pairs;
+		await setServing([executor!]);
 		await send(ingress!, {callId: 'opens-the-link'});
 		await deployment.setNetworkFaults({cutRegions: ['parnu']});
 		const pending = send(ingress!, {callId: 'on-its-way', timeout: 8000});
@@ -60,15 +60,15 @@
 		await deployment.setNetworkFaults({cutRegions: []});
 		const answer = await pending;
 		const runs = deployment.runsOf('on-its-way');
-		// The frame was lost with its connection, so that the executor can prove that it did not run.
+		// The frame is lost with its connection, so the executor can confirm that the call did not run.
 		expect(answer.outcome).not.toBe('unknown');
 		expect(runs).toBe(answer.outcome === 'answered' ? 1 : 0);
 		await setServing(deployment.pairs);
 	});
 
 	it('says unknown, and runs once, when a link is cut with a call in flight', async () => {
-		const [ingress, , far] = deployment.pairs;
-		await setServing([far!]);
+		const [ingress, , executor] = deployment.pairs;
+		await setServing([executor!]);
 		await send(ingress!, {callId: 'opens-it-again'});
 		const pending = send(ingress!, {callId: 'in-flight', path: '/?ms=1500', timeout: 6000});
 		await deployment.waitFor('the call to run', async () => deployment.runsOf('in-flight') === 1);
--- a/tests/mesh.test.ts
+++ b/tests/mesh.test.ts
@@ -8,14 +8,14 @@
 	{host: 'a.example', prefix: '/brief/', kind: 'unsafe', service: 'beta', timeout_ms: 300},
 ];
 
-/** Bound of the users' pages from the acknowledgement of a configuration. */
-const applyBound = 2000;
-/** Bound of the users' pages from a caller's leaving to the end of the work for it. */
-const leftBound = 500;
+/** Longest time in ms from the acknowledgement of a configuration until every node applies it. */
+const maxApplyMs = 2000;
+/** Longest time in ms from the disconnect of a caller until its request is canceled. */
+const maxCancelMs = 500;
 
-async function pause(span: number): Promise<void> {
+async function sleep(durationMs: number): Promise<void> {
 	await new Promise((resolve) => {
-		setTimeout(resolve, span);
+		setTimeout(resolve, durationMs);
 	});
 }
 
@@ -94,7 +94,7 @@
 		const startedAt = performance.now();
 		const answer = await mesh.send(alpha, {path: '/brief/1', id: 'too-long'});
 		expect(answer.status).toBe(504);
-		expect(performance.now() - startedAt).toBeLessThan(300 + leftBound);
+		expect(performance.now() - startedAt).toBeLessThan(300 + maxCancelMs);
 		const seen = () => beta.backend.seen.find(({id}) => id === 'too-long');
 		await eventually(() => seen()?.isAbandoned === true);
 		beta.backend.behavior = () => false;
@@ -109,22 +109,22 @@
 		const find = () => all().find(({id}) => id === 'left');
 		await eventually(() => find() !== undefined);
 		abort.abort();
-		const leftAt = performance.now();
+		const disconnectedAt = performance.now();
 		await expect(answer).rejects.toThrow();
 		await eventually(() => find()?.isAbandoned === true);
-		expect(performance.now() - leftAt).toBeLessThan(leftBound);
+		expect(performance.now() - disconnectedAt).toBeLessThan(maxCancelMs);
 		alpha.backend.behavior = () => false;
 		other.backend.behavior = () => false;
 	});
 
 	it('never run an unsafe request twice when its answer is lost', async () => {
-		const lose = (_req: unknown, res: {destroy(): unknown}) => {
+		const dropAnswer = (_req: unknown, res: {destroy(): unknown}) => {
 			res.destroy();
 			return true;
 		};
 
-		alpha.backend.behavior = lose;
-		other.backend.behavior = lose;
+		alpha.backend.behavior = dropAnswer;
+		other.backend.behavior = dropAnswer;
 		const answer = await mesh.send(beta, {path: '/unsafe/3', id: 'lost-answer'});
 		expect([502, 504]).toContain(answer.status);
 		const all = [...alpha.backend.seen, ...other.backend.seen];
@@ -141,10 +141,10 @@
 			await eventually(async () => (await mesh.version(node)) === 10);
 		}
 
-		expect(performance.now() - ackedAt).toBeLessThan(applyBound);
+		expect(performance.now() - ackedAt).toBeLessThan(maxApplyMs);
 		await mesh.configure(routes, 4);
 		await mesh.writeRow('op', 'config', 'bm8gSlNPTg==');
-		await pause(300);
+		await sleep(300);
 		for (const node of mesh.nodes) {
 			expect(await mesh.version(node)).toBe(10);
 			expect(await mesh.statusFor(node, {path: '/new/1'})).toBe(200);
@@ -156,7 +156,7 @@
 		await mesh.configure(routes, 11);
 		const ackedAt = performance.now();
 		await eventually(async () => (await mesh.version(other)) === 11);
-		expect(performance.now() - ackedAt).toBeLessThan(applyBound);
+		expect(performance.now() - ackedAt).toBeLessThan(maxApplyMs);
 		await mesh.setStoreFaults({refused: [], isHistoryLost: true});
 		await mesh.configure(routes, 12);
 		for (const node of mesh.nodes) {
@@ -186,26 +186,26 @@
 		const agent = new Agent({keepAlive: true, maxSockets: 4});
 		const progress = {isOver: false};
 		const answers: number[] = [];
-		let cut = 0;
+		let cutRequests = 0;
 		const callers = Array.from({length: 4}, async (_, caller) => {
 			for (let i = 0; !progress.isOver; i++) {
 				const id = `stop-${caller}-${i}`;
 				try {
 					answers.push(await mesh.statusFor(beta, {path: '/unsafe/s', id, agent}));
 				} catch {
-					// A request that never reached a backend server crossed the close of its connection.
-					cut += alpha.backend.seen.some((seen) => seen.id === id) ? 1 : 0;
-					await pause(20);
+					// A request that no backend server has seen met the close of its connection: not a failure.
+					cutRequests += alpha.backend.seen.some((seen) => seen.id === id) ? 1 : 0;
+					await sleep(20);
 				}
 			}
 		});
-		await pause(300);
+		await sleep(300);
 		const code = await mesh.endNode(beta, 'SIGTERM');
 		progress.isOver = true;
 		await Promise.all(callers);
 		agent.destroy();
 		expect(code).toBe(0);
-		expect(cut).toBe(0);
+		expect(cutRequests).toBe(0);
 		expect(answers.length).toBeGreaterThan(20);
 		expect(answers.every((status) => status === 200)).toBe(true);
 	});
