--- a/tests/configuration.test.ts
+++ b/tests/configuration.test.ts
@@ -8,8 +8,8 @@
 const deployment = new Deployment(small, 31);
 let versions = 0;
 
-/** @returns a folder of declaration files that differs from all others. */
-function changedFolder(deadline: string): string {
+/** @returns a new copy of the example declaration in which the deadline of stock is replaced. */
+function createDeclaration(deadline: string): string {
 	versions += 1;
 	const folder = join(deployment.folder, `declaration-${versions}`);
 	cpSync('examples/small', folder, {recursive: true});
@@ -18,12 +18,12 @@
 	return folder;
 }
 
-async function revisions(): Promise<number[]> {
+async function revisionsInForce(): Promise<number[]> {
 	const states = await Promise.all(deployment.pairs.map(async (pair) => deployment.status(pair)));
 	return states.map((status) => status.revision.inForce);
 }
 
-async function applied(
+async function applyDeclaration(
 	folder: string,
 	...args: string[]
 ): Promise<{code: number; revision: number}> {
@@ -34,7 +34,7 @@
 
 async function waitForRevision(revision: number): Promise<void> {
 	await deployment.waitFor(`revision ${revision} everywhere`, async () => {
-		const all = await revisions();
+		const all = await revisionsInForce();
 		return all.every((item) => item === revision);
 	});
 }
@@ -49,24 +49,24 @@
 
 describe('configuration', () => {
 	it('brings an accepted change into force on every node', async () => {
-		const {code, revision} = await applied(changedFolder('6 s'));
+		const {code, revision} = await applyDeclaration(createDeclaration('6 s'));
 		expect(code).toBe(0);
 		await waitForRevision(revision);
 	});
 
 	it('is idempotent when applied again', async () => {
-		const folder = changedFolder('7 s');
-		const first = await applied(folder);
-		const second = await applied(folder);
+		const folder = createDeclaration('7 s');
+		const first = await applyDeclaration(folder);
+		const second = await applyDeclaration(folder);
 		expect(second).toEqual(first);
 	});
 
 	it('lets one of two operators win and shows the other the conflict', async () => {
-		const {revision} = await applied(changedFolder('8 s'));
+		const {revision} = await applyDeclaration(createDeclaration('8 s'));
 		const base = ['--on', String(revision)];
 		const results = await Promise.all([
-			deployment.operate('apply', changedFolder('9 s'), ...base),
-			deployment.operate('apply', changedFolder('10 s'), ...base),
+			deployment.operate('apply', createDeclaration('9 s'), ...base),
+			deployment.operate('apply', createDeclaration('10 s'), ...base),
 		]);
 		expect(results.map((result) => result.code).toSorted((a, b) => a - b)).toEqual([0, 3]);
 		const loser = results.find((result) => result.code === 3)!;
@@ -76,7 +76,7 @@
 	});
 
 	it('refuses wrong files with every finding and its place', async () => {
-		const folder = changedFolder('soon');
+		const folder = createDeclaration('soon');
 		const {code, output} = await deployment.operate('apply', folder);
 		expect(code).toBe(2);
 		expect(output).toMatch(
@@ -86,38 +86,38 @@
 
 	it('resolves an answer that the store swallowed', async () => {
 		await deployment.setStoreFaults({lostAnswers: 2});
-		const {code, revision} = await applied(changedFolder('11 s'));
+		const {code, revision} = await applyDeclaration(createDeclaration('11 s'));
 		await deployment.setStoreFaults({lostAnswers: 0});
 		expect(code).toBe(0);
 		await waitForRevision(revision);
 	});
 
 	it('does not accept what a region that is cut off does not hold, and does once it is back', async () => {
-		const [before] = await revisions();
+		const [before] = await revisionsInForce();
 		await deployment.setNetworkFaults({cutRegions: ['parnu']});
-		const {code, revision} = await applied(changedFolder('12 s'), '--wait', '2');
+		const {code, revision} = await applyDeclaration(createDeclaration('12 s'), '--wait', '2');
 		expect(code).toBe(5);
-		expect(await revisions()).toEqual([before, before, before]);
+		expect(await revisionsInForce()).toEqual([before, before, before]);
 		await deployment.setNetworkFaults({cutRegions: []});
 		await waitForRevision(revision);
 	});
 
 	it('withdraws what is not accepted in time when the operator asks for it', async () => {
-		const [before] = await revisions();
+		const [before] = await revisionsInForce();
 		await deployment.setNetworkFaults({cutRegions: ['parnu']});
-		const {code} = await applied(changedFolder('13 s'), '--wait', '2', '--withdraw');
+		const {code} = await applyDeclaration(createDeclaration('13 s'), '--wait', '2', '--withdraw');
 		await deployment.setNetworkFaults({cutRegions: []});
 		expect(code).toBe(1);
-		const {code: next, revision} = await applied(changedFolder('14 s'));
+		const {code: next, revision} = await applyDeclaration(createDeclaration('14 s'));
 		expect(next).toBe(0);
 		expect(revision).toBeGreaterThan(before!);
 		await waitForRevision(revision);
 	});
 
 	it('stays in force, and serves nodes that start, while the store is down', async () => {
-		const [revision] = await revisions();
+		const [revision] = await revisionsInForce();
 		await deployment.setStoreFaults({isDown: true});
-		const refused = await deployment.operate('apply', changedFolder('15 s'), '--wait', '1');
+		const refused = await deployment.operate('apply', createDeclaration('15 s'), '--wait', '1');
 		expect(refused.code).toBe(4);
 		const [pair] = deployment.pairs;
 		deployment.group.signal(pair!.node, 'SIGKILL');
@@ -131,7 +131,7 @@
 	});
 
 	it('is finished by the nodes when the operator is gone', async () => {
-		const {code, revision} = await applied(changedFolder('16 s'), '--wait', '0');
+		const {code, revision} = await applyDeclaration(createDeclaration('16 s'), '--wait', '0');
 		expect(code).toBe(5);
 		await waitForRevision(revision);
 	});
@@ -148,13 +148,13 @@
 			});
 			return answer.outcome === 'answered';
 		});
-		const {revision} = await applied(changedFolder('17 s'), '--wait', '1');
+		const {revision} = await applyDeclaration(createDeclaration('17 s'), '--wait', '1');
 		deployment.group.signal(pair.node, 'SIGCONT');
 		await waitForRevision(revision);
 	});
 
 	it('comes back from the store when all nodes start anew', async () => {
-		const [revision] = await revisions();
+		const [revision] = await revisionsInForce();
 		for (const pair of deployment.pairs) {
 			deployment.group.signal(pair.node, 'SIGKILL');
 		}
--- a/tests/crash.test.ts
+++ b/tests/crash.test.ts
@@ -10,7 +10,7 @@
 	return sendCall({node, service: 'stock', customer: 'kuressaare', path, callId, timeout: 4000});
 }
 
-async function revive(): Promise<void> {
+async function restartCrashedBackends(): Promise<void> {
 	for (const pair of deployment.pairs) {
 		const isAlive = await deployment.running(pair).then(
 			() => true,
@@ -46,7 +46,7 @@
 			);
 			return texts.every((text) => text.includes('fingerprint'));
 		});
-		await revive();
+		await restartCrashedBackends();
 		for (const [i] of deployment.pairs.entries()) {
 			const answer = await send(i, '/crash', 'poison');
 			expect(answer).toMatchObject({outcome: 'not-run', reason: 'held'});
