--- a/tests/docs.test.ts
+++ b/tests/docs.test.ts
@@ -7,8 +7,8 @@
 	return readFileSync(file, 'utf8');
 }
 
-/** Rows of the table of proofs: test file and test name. */
-function proofs(): Array<{file: string; name: string}> {
+/** @returns the test file and the test name of each row in docs/PROOFS.md. */
+function proofRows(): Array<{file: string; name: string}> {
 	const rows = read('docs/PROOFS.md').matchAll(
 		/`((?:tests|src|platform)\/[^`]+\.test\.ts)`: "([^"]+)"/gv,
 	);
@@ -44,8 +44,8 @@
 	});
 
 	it('name proofs that exist', () => {
-		expect(proofs().length).toBeGreaterThan(20);
-		for (const {file, name} of proofs()) {
+		expect(proofRows().length).toBeGreaterThan(20);
+		for (const {file, name} of proofRows()) {
 			expect(existsSync(file), file).toBe(true);
 			expect(read(file), `${file}: ${name}`).toContain(name);
 		}
