--- a/tests/at-most-once.test.ts
+++ b/tests/at-most-once.test.ts
@@ -58,7 +58,7 @@
 });
 
 describe('at most once', () => {
-	it('says unknown, and runs once, when the executor is killed with a call in flight', async () => {
+	it('reports outcome unknown, and runs the call once, when the executor is killed during the call', async () => {
 		const [ingress, executor] = [deployment.pairs[0]!, deployment.pairs[1]!];
 		await serveOnlyAt(executor);
 		const pending = sendCall(callTo(ingress, {callId: 'killed', path: '/?ms=3000', timeout: 4000}));
@@ -71,7 +71,7 @@
 		await restoreAll();
 	});
 
-	it('says unknown when the backend server is killed with a call in flight', async () => {
+	it('reports outcome unknown when the backend server is killed during the call', async () => {
 		const [ingress, executor] = [deployment.pairs[0]!, deployment.pairs[2]!];
 		await serveOnlyAt(executor);
 		const pending = sendCall(callTo(ingress, {callId: 'lost', path: '/?ms=3000', timeout: 4000}));
@@ -84,7 +84,7 @@
 		await restoreAll();
 	});
 
-	it('never runs a call of a frozen executor elsewhere', async () => {
+	it('runs a call at most once when its executor is frozen', async () => {
 		const [ingress, executor] = [deployment.pairs[0]!, deployment.pairs[1]!];
 		await serveOnlyAt(executor);
 		deployment.group.signal(executor.node, 'SIGSTOP');
@@ -96,7 +96,7 @@
 		expectConsistentOutcome(answer, 'frozen');
 	});
 
-	it('refuses at the executor what waited in its socket past its deadline', async () => {
+	it('does not run a call that waited in the socket of the executor past its deadline', async () => {
 		const [ingress, executor] = [deployment.pairs[0]!, deployment.pairs[2]!];
 		await serveOnlyAt(executor);
 		await sendCall(callTo(ingress, {callId: 'warm'}));
@@ -113,7 +113,7 @@
 		expect(deployment.runsOf('late')).toBe(0);
 	});
 
-	it('replays the answer to a caller that sends again while the first copy runs', async () => {
+	it('runs copies of a keyed call once and answers all of them', async () => {
 		const request = {callId: 'twice', key: 'twice', path: '/?ms=800', timeout: 5000};
 		const answers = await Promise.all(
 			deployment.pairs.map(async (pair) => sendCall(callTo(pair, request))),
@@ -122,7 +122,7 @@
 		expect(deployment.runsOf('twice')).toBe(1);
 	});
 
-	it('tells the truth after the home of a key was killed', async () => {
+	it('reports outcome unknown for a key whose owner was killed, and does not run the call again', async () => {
 		const owner = deployment.pairs[0]!;
 		const request = {callId: 'orphan', key: 'orphan', path: '/?ms=2000', timeout: 6000};
 		const first = sendCall(callTo(owner, request));
@@ -139,7 +139,7 @@
 		expect(deployment.runsOf('orphan')).toBe(1);
 	});
 
-	it('replays the answer after the home of a key has stopped gracefully', async () => {
+	it('replays the answer after the owner of a key has stopped gracefully', async () => {
 		const owner = deployment.pairs[1]!;
 		const request = {callId: 'heir', key: 'heir'};
 		const first = await sendCall(callTo(owner, request));
@@ -153,7 +153,7 @@
 		await waitForServing(3);
 	});
 
-	it('claims a key although the answer of the store is lost', async () => {
+	it('claims a key even if the response of the store is lost', async () => {
 		await deployment.setStoreFaults({lostAnswers: 1});
 		const request = {callId: 'swallowed', key: 'swallowed'};
 		const first = await sendCall(callTo(deployment.pairs[0]!, request));
@@ -163,7 +163,7 @@
 		await deployment.setStoreFaults({lostAnswers: 0});
 	});
 
-	it('refuses a key that it cannot claim, and serves issued keys, while the store is down', async () => {
+	it('while the store is down, refuses keys that it cannot claim and serves issued keys', async () => {
 		await deployment.setStoreFaults({isDown: true});
 		const [node, other] = [deployment.pairs[0]!, deployment.pairs[2]!];
 		const refused = await sendCall(callTo(node, {callId: 'no-claim', key: 'no-claim'}));
@@ -189,7 +189,7 @@
 		expect(deployment.runsOf('no-claim')).toBe(1);
 	});
 
-	it('never calls a copy not run while it cannot tell whether an earlier one ran', async () => {
+	it('reports outcome unknown, not not-run, while it cannot check whether an earlier copy ran', async () => {
 		const [owner, other] = [deployment.pairs[0]!, deployment.pairs[2]!];
 		const request = {callId: 'earlier', key: 'earlier'};
 		const first = await sendCall(callTo(owner, request));
@@ -207,7 +207,7 @@
 		expect(deployment.runsOf('earlier')).toBe(1);
 	});
 
-	it('refuses a key that is used for another request', async () => {
+	it('refuses a key that was already used for a different request', async () => {
 		const [a, b] = [deployment.pairs[0]!, deployment.pairs[1]!];
 		await sendCall(callTo(a, {callId: 'mine', key: 'shared', path: '/one'}));
 		const answer = await sendCall(callTo(b, {callId: 'other', key: 'shared', path: '/two'}));
--- a/tests/broken-paths.test.ts
+++ b/tests/broken-paths.test.ts
@@ -32,7 +32,7 @@
 });
 
 describe('broken paths', () => {
-	it('never shows a part of a streamed answer as the whole', async () => {
+	it('never presents a truncated streamed answer as complete', async () => {
 		for (const [i, pair] of deployment.pairs.entries()) {
 			const path = '/?size=300000&break-after=100000';
 			const answer = await send(pair, {callId: `part-${i}`, path});
@@ -40,7 +40,7 @@
 		}
 	});
 
-	it('says unknown when a small answer breaks off', async () => {
+	it('reports outcome unknown when a small answer is truncated', async () => {
 		for (const [i, pair] of deployment.pairs.entries()) {
 			const answer = await send(pair, {callId: `small-${i}`, path: '/?size=2000&break-after=500'});
 			expect(answer).toMatchObject({outcome: 'unknown', reason: 'backend-lost'});
@@ -48,7 +48,7 @@
 		}
 	});
 
-	it('asks and fences when a link is cut with a call on its way', async () => {
+	it('resolves the outcome of a call whose frame is lost when its link is cut', async () => {
 		const [ingress, , executor] = deployment.pairs;
 		await setServing([executor!]);
 		await send(ingress!, {callId: 'opens-the-link'});
@@ -66,7 +66,7 @@
 		await setServing(deployment.pairs);
 	});
 
-	it('says unknown, and runs once, when a link is cut with a call in flight', async () => {
+	it('reports outcome unknown, and runs the call once, when a link is cut during the call', async () => {
 		const [ingress, , executor] = deployment.pairs;
 		await setServing([executor!]);
 		await send(ingress!, {callId: 'opens-it-again'});
@@ -80,7 +80,7 @@
 		await setServing(deployment.pairs);
 	});
 
-	it('tells the truth while the store is slow', async () => {
+	it('runs a keyed call at most once while the store is slow', async () => {
 		await deployment.setStoreFaults({delay: 1200});
 		const answers = await Promise.all(
 			deployment.pairs.map(async (pair) =>
@@ -96,7 +96,7 @@
 		}
 	});
 
-	it('turns away a peer that does not know the secret', async () => {
+	it('rejects a peer that does not know the secret', async () => {
 		const {address} = deployment.pairs[0]!;
 		const {WebSocket} = await import('ws');
 		const {encodeFrame, FrameType, protocolVersion} = await import('../src/link/index.js');
