--- a/tests/configuration.test.ts
+++ b/tests/configuration.test.ts
@@ -48,20 +48,20 @@
 });
 
 describe('configuration', () => {
-	it('brings an accepted change into force on every node', async () => {
+	it('puts an accepted revision in force on every node', async () => {
 		const {code, revision} = await applyDeclaration(createDeclaration('6 s'));
 		expect(code).toBe(0);
 		await waitForRevision(revision);
 	});
 
-	it('is idempotent when applied again', async () => {
+	it('returns the same revision when the same declaration is applied again', async () => {
 		const folder = createDeclaration('7 s');
 		const first = await applyDeclaration(folder);
 		const second = await applyDeclaration(folder);
 		expect(second).toEqual(first);
 	});
 
-	it('lets one of two operators win and shows the other the conflict', async () => {
+	it('accepts one of two concurrent changes and reports the conflict for the other', async () => {
 		const {revision} = await applyDeclaration(createDeclaration('8 s'));
 		const base = ['--on', String(revision)];
 		const results = await Promise.all([
@@ -75,7 +75,7 @@
 		await waitForRevision(revision + 1);
 	});
 
-	it('refuses wrong files with every finding and its place', async () => {
+	it('refuses an invalid file with the file, line and field of the finding', async () => {
 		const folder = createDeclaration('soon');
 		const {code, output} = await deployment.operate('apply', folder);
 		expect(code).toBe(2);
@@ -84,7 +84,7 @@
 		);
 	});
 
-	it('resolves an answer that the store swallowed', async () => {
+	it('applies a change even if responses of the store are lost', async () => {
 		await deployment.setStoreFaults({lostAnswers: 2});
 		const {code, revision} = await applyDeclaration(createDeclaration('11 s'));
 		await deployment.setStoreFaults({lostAnswers: 0});
@@ -92,7 +92,7 @@
 		await waitForRevision(revision);
 	});
 
-	it('does not accept what a region that is cut off does not hold, and does once it is back', async () => {
+	it('accepts a revision only once a region that was cut off is reachable again', async () => {
 		const [before] = await revisionsInForce();
 		await deployment.setNetworkFaults({cutRegions: ['parnu']});
 		const {code, revision} = await applyDeclaration(createDeclaration('12 s'), '--wait', '2');
@@ -102,7 +102,7 @@
 		await waitForRevision(revision);
 	});
 
-	it('withdraws what is not accepted in time when the operator asks for it', async () => {
+	it('withdraws a revision that is not accepted in time when --withdraw is set', async () => {
 		const [before] = await revisionsInForce();
 		await deployment.setNetworkFaults({cutRegions: ['parnu']});
 		const {code} = await applyDeclaration(createDeclaration('13 s'), '--wait', '2', '--withdraw');
@@ -114,7 +114,7 @@
 		await waitForRevision(revision);
 	});
 
-	it('stays in force, and serves nodes that start, while the store is down', async () => {
+	it('keeps the revision in force while the store is down, also on nodes that start', async () => {
 		const [revision] = await revisionsInForce();
 		await deployment.setStoreFaults({isDown: true});
 		const refused = await deployment.operate('apply', createDeclaration('15 s'), '--wait', '1');
@@ -130,13 +130,13 @@
 		await deployment.waitUntilReady();
 	});
 
-	it('is finished by the nodes when the operator is gone', async () => {
+	it('completes a change after the apply command has exited', async () => {
 		const {code, revision} = await applyDeclaration(createDeclaration('16 s'), '--wait', '0');
 		expect(code).toBe(5);
 		await waitForRevision(revision);
 	});
 
-	it('never reverts on a node that was frozen while a change was made', async () => {
+	it('brings a node that was frozen during a change to the new revision', async () => {
 		const pair = deployment.pairs[1]!;
 		deployment.group.signal(pair.node, 'SIGSTOP');
 		await deployment.waitFor('the node to be given up', async () => {
@@ -153,7 +153,7 @@
 		await waitForRevision(revision);
 	});
 
-	it('comes back from the store when all nodes start anew', async () => {
+	it('restores the revision in force after all nodes restart', async () => {
 		const [revision] = await revisionsInForce();
 		for (const pair of deployment.pairs) {
 			deployment.group.signal(pair.node, 'SIGKILL');
--- a/tests/crash.test.ts
+++ b/tests/crash.test.ts
@@ -33,7 +33,7 @@
 });
 
 describe('a request that crashes backend servers', () => {
-	it('is held back everywhere after two crashes, and neighbours are not blamed', async () => {
+	it('is held on every node after two crashes, while other requests are still served', async () => {
 		await send(0, '/stock', 'neighbour');
 		const first = await send(0, '/crash', 'poison');
 		expect(first.outcome).toBe('unknown');
@@ -57,7 +57,7 @@
 		expect(neighbour.outcome).toBe('answered');
 	});
 
-	it('runs again once an operator has lifted the hold', async () => {
+	it('runs again after an operator lifts the hold', async () => {
 		const node = `${deployment.pairs[0]!.address}:${ports.operator}`;
 		const text = await fetchText(`http://${node}/v1/holds`);
 		const {holds} = JSON.parse(text) as {holds: Array<{fingerprint: string}>};
