--- a/tests/departures.test.ts
+++ b/tests/departures.test.ts
@@ -38,7 +38,7 @@
 });
 
 describe('departures', () => {
-	it('hands back what a backend server that leaves has not started, and cuts nothing', async () => {
+	it('drains a node without interrupting a running call', async () => {
 		const [leaving] = deployment.pairs;
 		const running = sendCall({
 			node: `${leaving!.address}:${ports.caller}`,
@@ -60,7 +60,7 @@
 		await deployment.waitUntilReady();
 	});
 
-	it('restarts every node and backend server under load without a failed or doubled call', async () => {
+	it('restarts every node and backend server under load without failed or duplicate calls', async () => {
 		const calls = drawTraffic({
 			plan: small,
 			kinds: [lookups, orders],
--- a/tests/docs.test.ts
+++ b/tests/docs.test.ts
@@ -43,7 +43,7 @@
 		}
 	});
 
-	it('name proofs that exist', () => {
+	it('name only test files and test titles that exist', () => {
 		expect(proofRows().length).toBeGreaterThan(20);
 		for (const {file, name} of proofRows()) {
 			expect(existsSync(file), file).toBe(true);
