--- a/tests/endless-bytes.test.ts
+++ b/tests/endless-bytes.test.ts
@@ -124,36 +124,39 @@
 		{...kind, pace: 'slowly', isSlow: true},
 	]);
 
-	it.each(cases)('($name, $pace) costs its own call and nothing else', async (testCase) => {
-		alpha.backend.behavior = (seen, res) => {
-			const isEndless = seen.path.endsWith('/endless');
-			if (isEndless) {
-				writeEndlessly(
-					res,
-					testCase.head.replace(idPlaceholder, seen.id),
-					testCase.piece,
-					testCase.isSlow,
-				);
+	it.each(cases)(
+		'($name, $pace) fails only its own call, within the time and memory limits',
+		async (testCase) => {
+			alpha.backend.behavior = (seen, res) => {
+				const isEndless = seen.path.endsWith('/endless');
+				if (isEndless) {
+					writeEndlessly(
+						res,
+						testCase.head.replace(idPlaceholder, seen.id),
+						testCase.piece,
+						testCase.isSlow,
+					);
+				}
+
+				return isEndless;
+			};
+
+			const before = [alpha, caller].map((node) => mesh.usage(node).residentMb);
+			const id = `${testCase.name.replaceAll(' ', '-')}-${testCase.pace}`;
+			const ended = call(caller, mesh.callerPort, '/unsafe/endless', id);
+			const startedAt = performance.now();
+			const otherAnswer = await mesh.send(caller, {path: '/other/1'});
+			expect(otherAnswer.status).toBe(200);
+			expect(performance.now() - startedAt).toBeLessThan(maxOtherCallMs);
+			expect(await ended).toBeLessThan(routeTimeoutMs + maxOverrunMs);
+			const runs = alpha.backend.seen.filter((seen) => seen.id === id);
+			expect(runs).toHaveLength(1);
+			await eventually(() => runs[0]!.isAbandoned);
+			for (const [i, node] of [alpha, caller].entries()) {
+				expect(mesh.usage(node).residentMb - before[i]!).toBeLessThan(maxMemoryMb);
 			}
 
-			return isEndless;
-		};
-
-		const before = [alpha, caller].map((node) => mesh.usage(node).residentMb);
-		const id = `${testCase.name.replaceAll(' ', '-')}-${testCase.pace}`;
-		const ended = call(caller, mesh.callerPort, '/unsafe/endless', id);
-		const startedAt = performance.now();
-		const otherAnswer = await mesh.send(caller, {path: '/other/1'});
-		expect(otherAnswer.status).toBe(200);
-		expect(performance.now() - startedAt).toBeLessThan(maxOtherCallMs);
-		expect(await ended).toBeLessThan(routeTimeoutMs + maxOverrunMs);
-		const runs = alpha.backend.seen.filter((seen) => seen.id === id);
-		expect(runs).toHaveLength(1);
-		await eventually(() => runs[0]!.isAbandoned);
-		for (const [i, node] of [alpha, caller].entries()) {
-			expect(mesh.usage(node).residentMb - before[i]!).toBeLessThan(maxMemoryMb);
-		}
-
-		expect(await mesh.statusFor(caller, {path: '/safe/after'})).toBe(200);
-	});
+			expect(await mesh.statusFor(caller, {path: '/safe/after'})).toBe(200);
+		},
+	);
 });
--- a/tests/mesh.test.ts
+++ b/tests/mesh.test.ts
@@ -36,14 +36,14 @@
 		await mesh.stop();
 	});
 
-	it('answer 503 and are not ready before there is a configuration', async () => {
+	it('answer 503 and are not ready before they have a configuration', async () => {
 		expect(await mesh.isReady(beta)).toBe(false);
 		const answer = await mesh.send(beta, {path: '/safe/1'});
 		expect(answer.status).toBe(503);
 		expect(Number(answer.headers['retry-after'])).toBeGreaterThan(0);
 	});
 
-	it('serve a request at the backend server of another node', async () => {
+	it('forward a request to the backend server of another node', async () => {
 		await mesh.configure(routes);
 		await mesh.settle();
 		await eventually(async () => (await mesh.statusFor(beta, {path: '/safe/0'})) === 200);
@@ -58,14 +58,14 @@
 		expect(timeLeft).toBeLessThanOrEqual(900);
 	});
 
-	it('pass bodies with a length on unchanged', async () => {
+	it('forward bodies with a Content-Length unchanged', async () => {
 		const body = 'x'.repeat(100_000);
 		const answer = await mesh.send(beta, {path: '/unsafe/1', method: 'POST', body});
 		expect(answer.status).toBe(200);
 		expect(answer.body.endsWith(body)).toBe(true);
 	});
 
-	it('never make an answer without a length look complete', async () => {
+	it('forward an answer without a length as one that ends with the connection', async () => {
 		beta.backend.behavior = ({id}, res) => {
 			const head = `HTTP/1.1 200 OK\r\nX-Attempt-Id: ${id}\r\nX-Server-Signature: s`;
 			res.socket?.end(`${head}\r\nConnection: close\r\n\r\npart`);
@@ -89,7 +89,7 @@
 		expect(await mesh.statusFor(beta, {path: '/safe/1', host: 'b.example'})).toBe(404);
 	});
 
-	it('give a request up at the time-out of its route, and the work for it', async () => {
+	it('answer 504 at the time-out of the route and cancel the request at the backend server', async () => {
 		beta.backend.behavior = () => true;
 		const startedAt = performance.now();
 		const answer = await mesh.send(alpha, {path: '/brief/1', id: 'too-long'});
@@ -100,7 +100,7 @@
 		beta.backend.behavior = () => false;
 	});
 
-	it('end the work when the caller leaves', async () => {
+	it('cancel the request at the backend server when the caller disconnects', async () => {
 		alpha.backend.behavior = () => true;
 		other.backend.behavior = () => true;
 		const abort = new AbortController();
@@ -133,7 +133,7 @@
 		other.backend.behavior = () => false;
 	});
 
-	it('never take a configuration back, also when an older one is written', async () => {
+	it('keep the newest configuration when an older one is written to the store', async () => {
 		const added: MeshRoute = {host: 'a.example', prefix: '/new/', kind: 'safe', service: 'beta'};
 		await mesh.configure([...routes, added], 10);
 		const ackedAt = performance.now();
@@ -151,7 +151,7 @@
 		}
 	});
 
-	it('bring a configuration to a node that the store turns away, and follow on a lost history', async () => {
+	it('deliver configurations to a node that the store refuses, and after the history of the store is lost', async () => {
 		await mesh.setStoreFaults({refused: [other.address]});
 		await mesh.configure(routes, 11);
 		const ackedAt = performance.now();
@@ -164,7 +164,7 @@
 		}
 	});
 
-	it('send nothing to a backend server that has said that it leaves', async () => {
+	it('send no request to a deregistered backend server', async () => {
 		other.backend.stopHeartbeats();
 		expect(await other.backend.deregister()).toBe(200);
 		const before = other.backend.seen.length;
@@ -175,13 +175,13 @@
 		expect(other.backend.seen).toHaveLength(before);
 	});
 
-	it('are not confused by announcements from another writer', async () => {
+	it('reject malformed announcements and keep serving', async () => {
 		expect(await alpha.backend.heartbeat({info: {service: 7}})).toBe(400);
 		expect(await alpha.backend.heartbeat({status: {state: 'asleep', sequence: 999}})).toBe(400);
 		expect(await mesh.statusFor(beta, {path: '/safe/1'})).toBe(200);
 	});
 
-	it('cut nothing when a node stops, on connections that callers keep using', async () => {
+	it('interrupt no request on keep-alive connections when a node stops', async () => {
 		alpha.backend.work = 150;
 		const agent = new Agent({keepAlive: true, maxSockets: 4});
 		const progress = {isOver: false};
@@ -210,7 +210,7 @@
 		expect(answers.every((status) => status === 200)).toBe(true);
 	});
 
-	it('find the backend server that ran on while its node was away', async () => {
+	it('find a backend server that kept running while its node was down', async () => {
 		beta.backend.stopHeartbeats();
 		await mesh.startNode(beta);
 		await eventually(async () => (await mesh.statusFor(beta, {path: '/brief/2'})) === 200);
@@ -218,7 +218,7 @@
 		expect(found).toHaveLength(1);
 	});
 
-	it('tell the cause of a failed request by its id', async () => {
+	it('report and log the cause of a failed request under its id', async () => {
 		const {body} = await mesh.send(alpha, {path: '/none/1', id: 'no-route-1'});
 		expect(JSON.parse(body)).toMatchObject({reason: 'no-route'});
 		beta.backend.behavior = () => true;
