--- a/tests/traces.test.ts
+++ b/tests/traces.test.ts
@@ -6,16 +6,19 @@
 import {formatTrace, parseTrace} from '../src/replay/index.js';
 
 describe('traces', () => {
-	it.each(namedTraces.map((trace) => trace.name))('%s is the one that its seed draws', (name) => {
-		const trace = namedTraces.find((item) => item.name === name)!;
-		const text = readFileSync(`traces/${name}.jsonl`, 'utf8');
-		expect(text).toBe(formatTrace(trace.create()));
-		const findings: Finding[] = [];
-		parseTrace(name, text, findings);
-		expect(findings).toEqual([]);
-	});
+	it.each(namedTraces.map((trace) => trace.name))(
+		'%s matches the trace that its seed generates',
+		(name) => {
+			const trace = namedTraces.find((item) => item.name === name)!;
+			const text = readFileSync(`traces/${name}.jsonl`, 'utf8');
+			expect(text).toBe(formatTrace(trace.create()));
+			const findings: Finding[] = [];
+			parseTrace(name, text, findings);
+			expect(findings).toEqual([]);
+		},
+	);
 
-	it('reports every bad line with its place', () => {
+	it('reports every invalid line with its line number', () => {
 		const findings: Finding[] = [];
 		parseTrace(
 			'bad.jsonl',
@@ -25,7 +28,7 @@
 		expect(findings.map((finding) => finding.line)).toEqual([1, 2, 3]);
 	});
 
-	it('turns any text into events and findings', () => {
+	it('parses arbitrary text without throwing', () => {
 		fc.assert(
 			fc.property(fc.array(fc.oneof(fc.string(), fc.json()), {maxLength: 5}), (lines) => {
 				const findings: Finding[] = [];
--- a/tests/whole-path.test.ts
+++ b/tests/whole-path.test.ts
@@ -41,7 +41,7 @@
 });
 
 describe('the whole path', () => {
-	it('answers a request that enters any node', async () => {
+	it('answers a request sent to any node', async () => {
 		for (const [i] of deployment.pairs.entries()) {
 			const call = {node: nodeAddress(i), service: 'stock', customer: 'kuressaare'};
 			const answer = await sendCall({...call, callId: `any-${i}`});
@@ -50,7 +50,7 @@
 		}
 	});
 
-	it('carries large bodies both ways, whole and with their trailers', async () => {
+	it('forwards large bodies in both directions, complete and with trailers', async () => {
 		const body = Buffer.alloc(3_000_000, 'grit');
 		for (const [i] of deployment.pairs.entries()) {
 			const res = await request(`http://${nodeAddress(i)}/big?size=2000000&chunked`, {
@@ -72,7 +72,7 @@
 		expect(await res.body.text()).toBe('');
 	});
 
-	it('refuses what it does not know, and says that nothing ran', async () => {
+	it('refuses unknown services and customers with outcome not-run', async () => {
 		const base = {node: nodeAddress(0), callId: 'x', customer: 'kuressaare'};
 		const noService = await sendCall({...base, service: 'nothing'});
 		expect(noService).toMatchObject({status: 404, outcome: 'not-run', reason: 'no-service'});
@@ -102,7 +102,7 @@
 		expect(countRuns()).toBe(before);
 	});
 
-	it('cancels at the backend server when the caller is lost', async () => {
+	it('cancels the call at the backend server when the caller disconnects', async () => {
 		const call = request(`http://${nodeAddress(0)}/slow?ms=20000`, {
 			method: 'POST',
 			headers: {...headers, 'x-call-id': 'lost'},
@@ -117,7 +117,7 @@
 		});
 	});
 
-	it('serves metrics and health on the operators port', async () => {
+	it('serves metrics and health on the operator port', async () => {
 		const {address} = deployment.pairs[0]!;
 		const base = `http://${address}:${ports.operator}`;
 		expect(await fetchText(`${base}/healthz`)).toBe('alive\n');
@@ -126,7 +126,7 @@
 		expect(metrics).toContain('turmeric_refusals_total{reason="no-service"}');
 	});
 
-	it('runs a call with a key once, whichever nodes it is sent to', async () => {
+	it('runs a keyed call once when copies are sent to several nodes', async () => {
 		const key = createHash('sha256').update('key').digest('hex');
 		const answers = await Promise.all(
 			Array.from({length: 9}, async (_, i) =>
