--- a/bench/cost.ts
+++ b/bench/cost.ts
@@ -1,32 +1,41 @@
-/** What a deployed node costs: a start, a second at rest, and a call at both of its nodes. */
+/**
+ * Measures the resource use of deployed nodes: processor time per start, wake-ups per second when
+ * idle, processor time per call on the two nodes that handle it, and resident memory.
+ */
 import process from 'node:process';
 import {readDeployedCommand} from '../scaffold/deployment/deployed-command.js';
 import {Mesh, type MeshNode} from '../scaffold/mesh/mesh.js';
 import type {ProcessUsage} from '../scaffold/deployment/process-usage.js';
 
-const nodes = 10;
-const settleTime = 5000;
-const restSeconds = 10;
-const callSeconds = 15;
-/** Calls a second at each node; the users' grown deployments have about as many. */
-const rate = 15;
+const nodeCount = 10;
+const settleMs = 5000;
+const idleSeconds = 10;
+const loadSeconds = 15;
+/** Calls per second at each node, about the rate of a large deployment. */
+const callsPerSecond = 15;
 const unsafeShare = 0.4;
 const bodyBytes = 300;
-const millis = 1000;
+const millisPerSecond = 1000;
 const subnet = 71;
 
-/** Targets of the users' platform. A start is counted to the end of the meeting with the others. */
+/**
+ * Upper limits. The processor time of a start counts until every node is ready and knows all
+ * members.
+ */
 const targets = {wakeUps: 6, callMillis: 0.4, startMillis: 40, residentMb: 45};
 
-async function sleep(span: number): Promise<void> {
+async function sleep(delayMs: number): Promise<void> {
 	await new Promise((resolve) => {
-		setTimeout(resolve, span);
+		setTimeout(resolve, delayMs);
 	});
 }
 
-type Spent = Pick<ProcessUsage, 'processor' | 'wakeUps'>;
+type ResourceUse = Pick<ProcessUsage, 'processor' | 'wakeUps'>;
 
-function spentBetween(before: readonly ProcessUsage[], after: readonly ProcessUsage[]): Spent {
+function resourceUseBetween(
+	before: readonly ProcessUsage[],
+	after: readonly ProcessUsage[],
+): ResourceUse {
 	let processor = 0;
 	let wakeUps = 0;
 	for (const [i, usage] of after.entries()) {
@@ -37,7 +46,7 @@
 	return {processor, wakeUps};
 }
 
-async function callFrom(mesh: Mesh, node: MeshNode): Promise<number> {
+async function sendFrom(mesh: Mesh, node: MeshNode): Promise<number> {
 	const isUnsafe = Math.random() < unsafeShare;
 	const answer = await mesh.send(node, {
 		host: isUnsafe ? 'b.example' : 'a.example',
@@ -48,14 +57,14 @@
 	return answer.status;
 }
 
-async function playCalls(mesh: Mesh): Promise<{calls: number; failed: number}> {
-	const end = performance.now() + callSeconds * millis;
+async function generateCalls(mesh: Mesh): Promise<{calls: number; failed: number}> {
+	const end = performance.now() + loadSeconds * millisPerSecond;
 	const statuses: Array<Promise<number>> = [];
 	await Promise.all(
 		mesh.nodes.map(async (node) => {
 			while (performance.now() < end) {
-				await sleep((-Math.log(1 - Math.random()) * millis) / rate);
-				statuses.push(callFrom(mesh, node));
+				await sleep((-Math.log(1 - Math.random()) * millisPerSecond) / callsPerSecond);
+				statuses.push(sendFrom(mesh, node));
 			}
 		}),
 	);
@@ -63,7 +72,7 @@
 	return {calls: all.length, failed: all.filter((status) => status !== 200).length};
 }
 
-function row(name: string, value: number, unit: string, target: number): boolean {
+function printResult(name: string, value: number, unit: string, target: number): boolean {
 	const isMet = value <= target;
 	const figure = `${value.toFixed(2)} ${unit}`.padStart(16);
 	console.log(`${name.padEnd(48)}${figure}   target ${target}   ${isMet ? 'met' : 'MISSED'}`);
@@ -77,44 +86,52 @@
 		{host: 'a.example', prefix: '/', kind: 'safe', service: 'alpha'},
 		{host: 'b.example', prefix: '/', kind: 'unsafe', service: 'beta'},
 	]);
-	for (let i = 0; i < nodes; i++) {
+	for (let i = 0; i < nodeCount; i++) {
 		const service = i % 3 === 2 ? 'beta' : 'alpha';
 		await mesh.addNode({zone: `z${i % 2}`, region: 'r', service});
 	}
 
 	await mesh.settle();
-	const read = () => mesh.nodes.map((node) => mesh.usage(node));
-	const started = read();
-	await sleep(settleTime);
-	const restFrom = read();
-	await sleep(restSeconds * millis);
-	const restTo = read();
-	const {calls, failed} = await playCalls(mesh);
-	const callsTo = read();
-	const rest = spentBetween(restFrom, restTo);
-	const busy = spentBetween(restTo, callsTo);
-	const restShare = callSeconds / restSeconds;
-	const perStart = started.reduce((sum, {processor}) => sum + processor, 0) / nodes;
-	const peak = Math.max(...callsTo.map(({residentMb}) => residentMb));
-	console.log(`${nodes} nodes, ${rate} calls/s each; ${calls} calls, ${failed} failed`);
+	const readAllUsage = () => mesh.nodes.map((node) => mesh.usage(node));
+	const usageAfterStart = readAllUsage();
+	await sleep(settleMs);
+	const idleStart = readAllUsage();
+	await sleep(idleSeconds * millisPerSecond);
+	const idleEnd = readAllUsage();
+	const {calls, failed} = await generateCalls(mesh);
+	const loadEnd = readAllUsage();
+	const idleUse = resourceUseBetween(idleStart, idleEnd);
+	const loadedUse = resourceUseBetween(idleEnd, loadEnd);
+	const idleToLoadFactor = loadSeconds / idleSeconds;
+	const processorPerStart =
+		usageAfterStart.reduce((sum, {processor}) => sum + processor, 0) / nodeCount;
+	const maxResidentMb = Math.max(...loadEnd.map(({residentMb}) => residentMb));
 	console.log(
-		`at rest: ${(rest.processor / nodes / restSeconds).toFixed(2)} ms of processor time a second`,
+		`${nodeCount} nodes, ${callsPerSecond} calls/s per node; ${calls} calls, ${failed} failed`,
+	);
+	console.log(
+		`idle: ${(idleUse.processor / nodeCount / idleSeconds).toFixed(2)} ms of processor time per second`,
 	);
 	const results = [
-		row(
-			'wake-ups at rest, with announcements',
-			rest.wakeUps / nodes / restSeconds,
-			'a second',
+		printResult(
+			'idle wake-ups, including announcements',
+			idleUse.wakeUps / nodeCount / idleSeconds,
+			'/s',
 			targets.wakeUps,
 		),
-		row(
-			'a call at both nodes',
-			(busy.processor - rest.processor * restShare) / calls,
+		printResult(
+			'processor time per call, both nodes',
+			(loadedUse.processor - idleUse.processor * idleToLoadFactor) / calls,
 			'ms',
 			targets.callMillis,
 		),
-		row('a start, with that of Node.js', perStart, 'ms', targets.startMillis),
-		row('resident memory, most', peak, 'MB', targets.residentMb),
+		printResult(
+			'processor time per start, including Node.js',
+			processorPerStart,
+			'ms',
+			targets.startMillis,
+		),
+		printResult('resident memory, maximum of all nodes', maxResidentMb, 'MB', targets.residentMb),
 	];
 	const isMissed = failed > 0 || results.includes(false);
 	process.exitCode = isMissed && process.argv.includes('--check') ? 1 : 0;
