--- a/src/link/incoming-attempt.ts
+++ b/src/link/incoming-attempt.ts
@@ -51,14 +51,14 @@
 	 * @returns the attempt for the runner.
 	 */
 	toAttempt(instance: string, now: Millis, staleness: Millis): Attempt {
-		const {sequence, share, canRetryElsewhere: isBounceable, timeLeft, objectiveLeft} = this.frame;
+		const {sequence, share, canRetryElsewhere, timeLeft, objectiveLeft} = this.frame;
 		const {service, customer, method, path, headers, isIdempotent, key, fingerprint, origin} =
 			this.frame;
 		return {
 			id: {instance, sequence},
 			head: {service, customer, method, path, headers, isIdempotent, key, origin, fingerprint},
 			share,
-			canRetryElsewhere: isBounceable,
+			canRetryElsewhere,
 			deadline: Deadline.in(now, timeLeft - staleness),
 			objective: Deadline.in(now, objectiveLeft - staleness),
 			body: this.body(),
--- a/src/link/outgoing-attempt.ts
+++ b/src/link/outgoing-attempt.ts
@@ -70,7 +70,7 @@
 	 * @param objectiveLeft - time until the latency objective is missed, in ms.
 	 */
 	open(target: OpenTarget, timeLeft: number, objectiveLeft: number): void {
-		const {head, id, share, canRetryElsewhere: isBounceable, body} = this.attempt;
+		const {head, id, share, canRetryElsewhere, body} = this.attempt;
 		this.link.send({
 			type: FrameType.Open,
 			stream: this.stream,
@@ -86,7 +86,7 @@
 			origin: head.origin,
 			fingerprint: head.fingerprint,
 			share,
-			canRetryElsewhere: isBounceable,
+			canRetryElsewhere,
 			timeLeft,
 			objectiveLeft,
 			body: body.bytes,
--- a/src/membership/gossip.ts
+++ b/src/membership/gossip.ts
@@ -29,7 +29,7 @@
 	type Member,
 } from './member.js';
 import {ProbeTargets} from './probe-targets.js';
-import {SeenRumors} from './rumor-memory.js';
+import {SeenRumors} from './seen-rumors.js';
 import {UpdateQueue, type QueuedUpdate} from './update-queue.js';
 
 /** Transport and callbacks that the owner of a {@link Gossip} provides. */
--- a/src/node/__tests__/unit/backend-keeper.test.ts
+++ b/src/node/__tests__/unit/backend-monitor.test.ts
@@ -7,7 +7,7 @@
 import {createTestGossip} from '../../../membership/__tests__/test-gossip.js';
 import {Metrics, silentLogger} from '../../../telemetry/index.js';
 import {AnnouncedState, type Announcement} from '../../announcement.js';
-import {BackendMonitor} from '../../backend-keeper.js';
+import {BackendMonitor} from '../../backend-monitor.js';
 
 function createFixture(isRestart = false) {
 	const clock = new ManualClock(1000);
--- a/src/node/backend-finder.ts
+++ b/src/node/backend-finder.ts
@@ -5,7 +5,7 @@
 import {formatEndpoint, type Endpoint} from '../settings/index.js';
 import {logEvents, type Logger} from '../telemetry/index.js';
 import {AnnouncedState} from './announcement.js';
-import type {BackendMonitor} from './backend-keeper.js';
+import type {BackendMonitor} from './backend-monitor.js';
 import {toHeaderList} from './header-list.js';
 
 /** Collaborators of {@link BackendFinder}. */
--- a/src/node/backend-probe.ts
+++ b/src/node/backend-probe.ts
@@ -6,7 +6,7 @@
 import {formatEndpoint} from '../settings/index.js';
 import type {Metrics} from '../telemetry/index.js';
 import {pause} from '../util/index.js';
-import type {BackendMonitor} from './backend-keeper.js';
+import type {BackendMonitor} from './backend-monitor.js';
 import {toHeaderList} from './header-list.js';
 
 /** Schedule and budget of the health probes. */
--- a/src/wiring/node-core.ts
+++ b/src/wiring/node-core.ts
@@ -16,11 +16,11 @@
 	type HeldRevision,
 	type Rumor,
 } from '../membership/index.js';
-import {BackendMonitor} from '../node/backend-keeper.js';
+import {BackendMonitor} from '../node/backend-monitor.js';
 import {CrashWatcher} from '../node/crash-watcher.js';
 import {LinkBudgets} from '../node/link-budgets.js';
 import {NodeEvent, nodeMachine, NodeState} from '../node/node-lifecycle.js';
-import {PauseDetector} from '../node/pause-watch.js';
+import {PauseDetector} from '../node/pause-detector.js';
 import {createRandom, type Random} from '../random/index.js';
 import type {Placement} from '../routing/index.js';
 import {formatEndpoint, type NodeSettings} from '../settings/index.js';
--- a/src/wiring/routed-node.ts
+++ b/src/wiring/routed-node.ts
@@ -20,7 +20,7 @@
 } from '../membership/index.js';
 import {BackendFinder} from '../node/backend-finder.js';
 import {BackendProbe, type ProbeRate} from '../node/backend-probe.js';
-import {LoadBroadcaster} from '../node/load-news.js';
+import {LoadBroadcaster} from '../node/load-broadcaster.js';
 import {NodeEvent, NodeState} from '../node/node-lifecycle.js';
 import {OperatorServer, textReply} from '../operations/index.js';
 import {ObjectivePlacement} from '../routing/index.js';
